--- a/src/drill/host.cpp
+++ b/src/drill/host.cpp
@@ -10,29 +10,29 @@
   while (std::getline(in, line)) {
     ++number;
     try {
-      TakeLine(line);
+      ProcessLine(line);
     } catch (const WireError& error) {
       errors << "line " << number << ": " << error.what() << std::endl;
       return 2;
     }
-    if (!replied_) continue;
+    if (!reply_complete_) continue;
     out.write(reply_.data(), static_cast<std::streamsize>(reply_.size()));
     out.flush();
     reply_.clear();
-    replied_ = false;
+    reply_complete_ = false;
   }
   if (!in_batch_) return 0;
   errors << "line " << number << ": input ends inside a batch" << std::endl;
   return 2;
 }
 
-void Host::TakeLine(std::string_view line) {
+void Host::ProcessLine(std::string_view line) {
   if (!line.empty() && line.back() == '\r') line.remove_suffix(1);
   const Fields fields(line);
-  if (entries_to_come_ > 0) {
+  if (pending_entries_ > 0) {
     if (fields.tag() != "M") throw WireError("MANIFEST: field elements announces entries that do not follow");
-    open_list_->push_back(ParseEntry(fields, &names_));
-    --entries_to_come_;
+    current_list_->push_back(ParseEntry(fields, &names_));
+    --pending_entries_;
     return;
   }
   if (fields.tag() == "FRAME") {
@@ -41,30 +41,30 @@
   } else if (fields.tag() == "EOB" && in_batch_) {
     reply_ += "READY\n";
     in_batch_ = false;
-    replied_ = true;
+    reply_complete_ = true;
   } else if (in_batch_) {
-    TakeEvent(fields);
+    ProcessEvent(fields);
   }
 }
 
-void Host::TakeEvent(const Fields& fields) {
+void Host::ProcessEvent(const Fields& fields) {
   const std::string_view tag = fields.tag();
   if (tag == "MANIFEST") {
     const std::int64_t slot = fields.Integer("slot");
-    if (slot < 0 || slot >= static_cast<std::int64_t>(lists_.size())) {
+    if (slot < 0 || slot >= static_cast<std::int64_t>(list_slots_.size())) {
       throw WireError("MANIFEST: field slot is unreadable");
     }
-    entries_to_come_ = fields.Integer("elements");
-    if (entries_to_come_ < 0) throw WireError("MANIFEST: field elements is unreadable");
-    open_list_ = &lists_[static_cast<size_t>(slot)];
-    open_list_->clear();
+    pending_entries_ = fields.Integer("elements");
+    if (pending_entries_ < 0) throw WireError("MANIFEST: field elements is unreadable");
+    current_list_ = &list_slots_[static_cast<size_t>(slot)];
+    current_list_->clear();
     return;
   }
-  static constexpr std::string_view kKnown[] = {"CONFIGURE", "UPDATE",  "JOB_IN",       "CLIENT_GONE",
-                                                "ENDED",     "FLOWING", "CHECK_RESULT", "ELAPSED",
-                                                "HALT",      "DATAGRAM"};
+  static constexpr std::string_view kEventTags[] = {"CONFIGURE", "UPDATE",  "JOB_IN",       "CLIENT_GONE",
+                                                    "ENDED",     "FLOWING", "CHECK_RESULT", "ELAPSED",
+                                                    "HALT",      "DATAGRAM"};
   bool known = false;
-  for (const std::string_view name : kKnown) known = known || name == tag;
+  for (const std::string_view name : kEventTags) known = known || name == tag;
   if (!known) return;
   const std::int64_t id = fields.Integer("i");
   if (tag == "HALT") {
@@ -92,18 +92,18 @@
   WriteActions(id);
 }
 
-void Host::TakeList(Instance* instance, const Fields& fields) {
-  static const std::vector<UpstreamEntry> kNothing;
+void Host::ApplyList(Instance* instance, const Fields& fields) {
+  static const std::vector<UpstreamEntry> kNoEntries;
   const ListUpdate kind = ParseListUpdate(fields);
   if (kind == ListUpdate::kFailed) {
-    instance->balancer.OnList(now_, kind, kNothing, &actions_);
+    instance->balancer.OnList(now_, kind, kNoEntries, &actions_);
     return;
   }
   const std::int64_t slot = fields.Integer("slot");
-  if (slot < 0 || slot >= static_cast<std::int64_t>(lists_.size())) {
+  if (slot < 0 || slot >= static_cast<std::int64_t>(list_slots_.size())) {
     throw WireError("UPDATE: field slot is unreadable");
   }
-  instance->balancer.OnList(now_, kind, lists_[static_cast<size_t>(slot)], &actions_);
+  instance->balancer.OnList(now_, kind, list_slots_[static_cast<size_t>(slot)], &actions_);
 }
 
 void Host::Dispatch(Instance* instance, const Fields& fields) {
@@ -120,7 +120,7 @@
   } else if (tag == "ELAPSED") {
     balancer.OnTimer(now_, static_cast<std::uint64_t>(fields.Integer("name")), &actions_);
   } else if (tag == "UPDATE") {
-    TakeList(instance, fields);
+    ApplyList(instance, fields);
   } else if (tag == "CLIENT_GONE") {
     balancer.OnClientGone(now_, static_cast<RequestId>(fields.Integer("rid")), &actions_);
   } else if (tag == "FLOWING") {
--- a/src/drill/host.h
+++ b/src/drill/host.h
@@ -27,20 +27,20 @@
   };
 
   // Takes one line of a batch. Throws WireError.
-  void TakeLine(std::string_view line);
-  void TakeEvent(const Fields& fields);
+  void ProcessLine(std::string_view line);
+  void ProcessEvent(const Fields& fields);
   void Configure(std::int64_t id, const Fields& fields);
-  void TakeList(Instance* instance, const Fields& fields);
+  void ApplyList(Instance* instance, const Fields& fields);
   void Dispatch(Instance* instance, const Fields& fields);
   void WriteActions(std::int64_t id);
 
-  Names names_;
+  UpstreamNames names_;
   std::map<std::int64_t, Instance> instances_;
-  std::array<std::vector<UpstreamEntry>, 16> lists_;
-  std::vector<UpstreamEntry>* open_list_ = nullptr;  // the list whose entries come next
-  std::int64_t entries_to_come_ = 0;
+  std::array<std::vector<UpstreamEntry>, 16> list_slots_;
+  std::vector<UpstreamEntry>* current_list_ = nullptr;  // the list whose entries come next
+  std::int64_t pending_entries_ = 0;
   bool in_batch_ = false;
-  bool replied_ = false;
+  bool reply_complete_ = false;
   Micros now_ = 0;
   Actions actions_;
   std::string reply_;
--- a/src/drill/wire.cpp
+++ b/src/drill/wire.cpp
@@ -22,10 +22,10 @@
 
 struct ActionWriter {
   std::int64_t instance;
-  const Names& names;
+  const UpstreamNames& names;
   std::string* out;
 
-  void Head(std::string_view tag) const {
+  void BeginLine(std::string_view tag) const {
     out->append(tag);
     out->append(" i=");
     Append(out, instance);
@@ -39,9 +39,9 @@
   }
   void Upstream(UpstreamId id) const {
     out->append(" upstream=");
-    out->append(names.Word(id));
+    out->append(names.NameOf(id));
   }
-  void End() const { out->push_back('\n'); }
+  void EndLine() const { out->push_back('\n'); }
   void Bytes(const std::vector<std::uint8_t>& content) const {
     static constexpr char kDigits[] = "0123456789abcdef";
     out->append(" content=");
@@ -53,65 +53,65 @@
   }
 
   void operator()(const Send& a) const {
-    Head("ISSUE");
+    BeginLine("ISSUE");
     Field("rid", a.request);
     Upstream(a.upstream);
     if (a.time_out != 0) Field("limit_us", a.time_out);
-    End();
+    EndLine();
   }
   void operator()(const Cancel& a) const {
-    Head("WITHDRAW");
+    BeginLine("WITHDRAW");
     Field("rid", a.request);
     Field("leg", a.attempt);
-    End();
+    EndLine();
   }
   void operator()(const Refuse& a) const {
-    Head("DECLINE");
+    BeginLine("DECLINE");
     Field("rid", a.request);
     if (a.retry_after > 0) Field("come_back_us", a.retry_after);
-    End();
+    EndLine();
   }
   void operator()(const Fail& a) const {
-    Head("END_FAILED");
+    BeginLine("END_FAILED");
     Field("rid", a.request);
-    End();
+    EndLine();
   }
   void operator()(const SetTimer& a) const {
-    Head("SCHEDULE");
+    BeginLine("SCHEDULE");
     Field("offset_us", a.delay);
     Field("name", a.token);
-    End();
+    EndLine();
   }
   void operator()(const Subscribe& a) const {
-    Head("STREAM_CHANGES");
+    BeginLine("STREAM_CHANGES");
     Field("want", a.on ? 1 : 0);
-    End();
+    EndLine();
   }
   void operator()(const FetchList&) const {
-    Head("PULL");
-    End();
+    BeginLine("PULL");
+    EndLine();
   }
   void operator()(const Check& a) const {
-    Head("PING");
+    BeginLine("PING");
     Upstream(a.upstream);
-    End();
+    EndLine();
   }
   void operator()(const CloseIdle& a) const {
-    Head("LET_GO");
+    BeginLine("LET_GO");
     Upstream(a.upstream);
-    End();
+    EndLine();
   }
   void operator()(const TellPeers& a) const {
-    Head("SHARE");
+    BeginLine("SHARE");
     Field("neighbour_id", a.peer);
     Bytes(a.content);
-    End();
+    EndLine();
   }
   void operator()(const Log& a) const {
-    Head("LOG");
+    BeginLine("LOG");
     out->append(" what=");
     for (const char c : a.text) out->push_back(c == '\n' || c == '\r' ? ' ' : c);
-    End();
+    EndLine();
   }
 };
 
@@ -137,47 +137,47 @@
   return nullptr;
 }
 
-void Fields::Bad(std::string_view name, const char* what) const {
+void Fields::ThrowFieldError(std::string_view name, const char* what) const {
   throw WireError(std::string(tag_) + ": field " + std::string(name) + " is " + what);
 }
 
 std::string_view Fields::Text(std::string_view name) const {
   const std::string_view* value = Find(name);
-  if (value == nullptr) Bad(name, "missing");
-  if (value->empty()) Bad(name, "unreadable");
+  if (value == nullptr) ThrowFieldError(name, "missing");
+  if (value->empty()) ThrowFieldError(name, "unreadable");
   return *value;
 }
 
 std::int64_t Fields::Integer(std::string_view name) const {
   const std::string_view* value = Find(name);
-  if (value == nullptr) Bad(name, "missing");
+  if (value == nullptr) ThrowFieldError(name, "missing");
   std::int64_t result = 0;
-  if (!Parse(*value, &result)) Bad(name, "unreadable");
+  if (!Parse(*value, &result)) ThrowFieldError(name, "unreadable");
   return result;
 }
 
-std::int64_t Fields::Integer(std::string_view name, std::int64_t absent) const {
-  return Has(name) ? Integer(name) : absent;
+std::int64_t Fields::Integer(std::string_view name, std::int64_t default_value) const {
+  return Has(name) ? Integer(name) : default_value;
 }
 
-double Fields::Number(std::string_view name, double absent) const {
+double Fields::Number(std::string_view name, double default_value) const {
   const std::string_view* value = Find(name);
-  if (value == nullptr) return absent;
+  if (value == nullptr) return default_value;
   double result = 0;
-  if (!Parse(*value, &result) || !std::isfinite(result)) Bad(name, "unreadable");
+  if (!Parse(*value, &result) || !std::isfinite(result)) ThrowFieldError(name, "unreadable");
   return result;
 }
 
-bool Fields::Flag(std::string_view name, bool absent) const {
+bool Fields::Flag(std::string_view name, bool default_value) const {
   const std::string_view* value = Find(name);
-  if (value == nullptr) return absent;
-  if (*value != "0" && *value != "1") Bad(name, "unreadable");
+  if (value == nullptr) return default_value;
+  if (*value != "0" && *value != "1") ThrowFieldError(name, "unreadable");
   return *value == "1";
 }
 
-UpstreamId Names::Intern(std::string_view word) {
-  const auto [it, is_new] = ids_.try_emplace(std::string(word), static_cast<UpstreamId>(words_.size()));
-  if (is_new) words_.emplace_back(word);
+UpstreamId UpstreamNames::Intern(std::string_view name) {
+  const auto [it, is_new] = ids_.try_emplace(std::string(name), static_cast<UpstreamId>(names_.size()));
+  if (is_new) names_.emplace_back(name);
   return it->second;
 }
 
@@ -191,7 +191,7 @@
   }
 }
 
-UpstreamEntry ParseEntry(const Fields& fields, Names* names) {
+UpstreamEntry ParseEntry(const Fields& fields, UpstreamNames* names) {
   UpstreamEntry entry;
   entry.id = names->Intern(fields.Text("upstream"));
   const std::string_view mode = fields.Text("mode");
@@ -265,7 +265,8 @@
   return report;
 }
 
-AttemptEnd ParseAttemptEnd(const Fields& fields, const std::vector<std::string>& columns, Names* names) {
+AttemptEnd ParseAttemptEnd(const Fields& fields, const std::vector<std::string>& columns,
+                           UpstreamNames* names) {
   AttemptEnd end;
   end.request = static_cast<RequestId>(fields.Integer("rid"));
   end.attempt = static_cast<int>(fields.Integer("leg"));
@@ -293,7 +294,7 @@
   return bytes;
 }
 
-void WriteAction(std::int64_t instance, const Action& action, const Names& names, std::string* out) {
+void WriteAction(std::int64_t instance, const Action& action, const UpstreamNames& names, std::string* out) {
   std::visit(ActionWriter{instance, names, out}, action);
 }
 
--- a/tests/drill/wire_test.cpp
+++ b/tests/drill/wire_test.cpp
@@ -23,7 +23,7 @@
   std::string errors;
 };
 
-Result Play(const std::string& input) {
+Result RunHost(const std::string& input) {
   std::istringstream in(input);
   std::ostringstream out, errors;
   Host host;
@@ -31,7 +31,7 @@
   return {status, out.str(), errors.str()};
 }
 
-std::string Start() {
+std::string StartInput() {
   return std::string("FRAME time_us=1000\n") + kConfigure +
          "MANIFEST slot=0 elements=1\n"
          "M machine=0 mode=Running capacity_hint=1 upstream=upstream_a cell=0 rack_zone=0\n"
@@ -39,114 +39,115 @@
 }
 
 TEST(WireTest, EmptyBatchGetsAnEmptyReply) {
-  const Result result = Play("FRAME time_us=8\nEOB\n");
+  const Result result = RunHost("FRAME time_us=8\nEOB\n");
   EXPECT_EQ(result.status, 0);
   EXPECT_EQ(result.out, "READY\n");
 }
 
-TEST(WireTest, RequestIsSentAndItsAnswerIsTaken) {
+TEST(WireTest, RequestIsSentAndItsAnswerIsAccepted) {
   const Result result =
-      Play(Start() +
-           "FRAME time_us=2000\nJOB_IN i=3 rid=913244755235268 qos=0 ttl_us=2400000 new_field=1\n"
-           "EOB\nFRAME time_us=9000\nENDED i=3 rid=913244755235268 leg=0 upstream=upstream_a "
-           "verdict=10 rtt_us=5000 settled=1 health_info=7,0.62\nSOMETHING_NEW x=1\nEOB\n");
+      RunHost(StartInput() +
+              "FRAME time_us=2000\nJOB_IN i=3 rid=913244755235268 qos=0 ttl_us=2400000 new_field=1\n"
+              "EOB\nFRAME time_us=9000\nENDED i=3 rid=913244755235268 leg=0 upstream=upstream_a "
+              "verdict=10 rtt_us=5000 settled=1 health_info=7,0.62\nSOMETHING_NEW x=1\nEOB\n");
   EXPECT_EQ(result.status, 0) << result.errors;
   EXPECT_NE(result.out.find("STREAM_CHANGES i=3 want=1\n"), std::string::npos);
   EXPECT_NE(result.out.find("ISSUE i=3 rid=913244755235268 upstream=upstream_a"), std::string::npos)
       << result.out;
 }
 
-TEST(WireTest, ListNumbersAreReusedWithinOneBatch) {
+TEST(WireTest, ListSlotsCanBeReusedWithinOneBatch) {
   const Result result =
-      Play(std::string("FRAME time_us=1000\n") + kConfigure +
-           "MANIFEST slot=0 elements=1\nM mode=Running upstream=one\nUPDATE i=3 slot=0 mode=cached gen=1\n"
-           "MANIFEST slot=0 elements=1\nM mode=Running upstream=two\nUPDATE i=3 slot=0 mode=full gen=2\n"
-           "JOB_IN i=3 rid=5 qos=0 ttl_us=2400000\nEOB\n");
+      RunHost(std::string("FRAME time_us=1000\n") + kConfigure +
+              "MANIFEST slot=0 elements=1\nM mode=Running upstream=one\nUPDATE i=3 slot=0 mode=cached gen=1\n"
+              "MANIFEST slot=0 elements=1\nM mode=Running upstream=two\nUPDATE i=3 slot=0 mode=full gen=2\n"
+              "JOB_IN i=3 rid=5 qos=0 ttl_us=2400000\nEOB\n");
   EXPECT_EQ(result.status, 0);
   EXPECT_NE(result.out.find("ISSUE i=3 rid=5 upstream=two"), std::string::npos) << result.out;
 }
 
-TEST(WireTest, HaltForgetsTheInstance) {
+TEST(WireTest, HaltRemovesTheInstance) {
   const Result result =
-      Play(Start() + "FRAME time_us=2000\nHALT i=3\nJOB_IN i=3 rid=5 qos=0 ttl_us=2400000\nEOB\n");
+      RunHost(StartInput() + "FRAME time_us=2000\nHALT i=3\nJOB_IN i=3 rid=5 qos=0 ttl_us=2400000\nEOB\n");
   EXPECT_EQ(result.status, 0);
   EXPECT_EQ(result.out.find("ISSUE"), std::string::npos);
 }
 
-TEST(WireTest, UnusedEventsAreRead) {
-  const Result result = Play(Start() +
-                             "FRAME time_us=2000\nFLOWING i=3 rid=1 leg=0 upstream=upstream_a rtt_us=5\n"
-                             "DATAGRAM i=3 sender=1 content=6869\nDATAGRAM i=3 sender=1 content=-\n"
-                             "CHECK_RESULT i=3 upstream=upstream_a verdict=10 rtt_us=5 health_info=1,0.5\n"
-                             "CLIENT_GONE i=3 rid=99\nUPDATE i=3 mode=failed\nEOB\n");
+TEST(WireTest, EventsWithoutActionsAreParsed) {
+  const Result result = RunHost(StartInput() +
+                                "FRAME time_us=2000\nFLOWING i=3 rid=1 leg=0 upstream=upstream_a rtt_us=5\n"
+                                "DATAGRAM i=3 sender=1 content=6869\nDATAGRAM i=3 sender=1 content=-\n"
+                                "CHECK_RESULT i=3 upstream=upstream_a verdict=10 rtt_us=5 health_info=1,0.5\n"
+                                "CLIENT_GONE i=3 rid=99\nUPDATE i=3 mode=failed\nEOB\n");
   EXPECT_EQ(result.status, 0) << result.errors;
 }
 
-struct BadInput {
+struct MalformedInput {
   const char* line;
   const char* event;
   const char* field;
 };
 
-class BadInputTest : public testing::TestWithParam<BadInput> {};
+class MalformedInputTest : public testing::TestWithParam<MalformedInput> {};
 
-TEST_P(BadInputTest, SaysLineEventAndFieldAndStopsWithTwo) {
-  const BadInput& bad = GetParam();
-  const Result result = Play(Start() + "FRAME time_us=2000\n" + bad.line + "\nEOB\n");
+TEST_P(MalformedInputTest, ErrorNamesLineEventAndFieldAndExitStatusIsTwo) {
+  const MalformedInput& malformed = GetParam();
+  const Result result = RunHost(StartInput() + "FRAME time_us=2000\n" + malformed.line + "\nEOB\n");
   EXPECT_EQ(result.status, 2);
   EXPECT_NE(result.errors.find("line 8: "), std::string::npos) << result.errors;
-  EXPECT_NE(result.errors.find(bad.event), std::string::npos) << result.errors;
-  EXPECT_NE(result.errors.find(bad.field), std::string::npos) << result.errors;
+  EXPECT_NE(result.errors.find(malformed.event), std::string::npos) << result.errors;
+  EXPECT_NE(result.errors.find(malformed.field), std::string::npos) << result.errors;
 }
 
 INSTANTIATE_TEST_SUITE_P(
-    All, BadInputTest,
-    testing::Values(BadInput{"JOB_IN i=3 qos=0 ttl_us=5", "JOB_IN", "rid"},
-                    BadInput{"JOB_IN i=3 rid=x qos=0 ttl_us=5", "JOB_IN", "rid"},
-                    BadInput{"JOB_IN i=3 rid=1 qos=7 ttl_us=5", "JOB_IN", "qos"},
-                    BadInput{"JOB_IN rid=1 qos=0 ttl_us=5", "JOB_IN", "i"},
-                    BadInput{"ENDED i=3 rid=1 leg=0 upstream=u verdict=11 rtt_us=1", "ENDED", "verdict"},
-                    BadInput{"ENDED i=3 rid=1 leg=0 verdict=10 rtt_us=1", "ENDED", "upstream"},
-                    BadInput{"ENDED i=3 rid=1 leg=0 upstream=u verdict=10 rtt_us=1 settled=yes", "ENDED",
-                             "settled"},
-                    BadInput{"ENDED i=3 rid=1 leg=0 upstream=u verdict=10 rtt_us=1 health_info=a,1", "ENDED",
-                             "health_info"},
-                    BadInput{"UPDATE i=3 slot=0 mode=odd gen=1", "UPDATE", "mode"},
-                    BadInput{"UPDATE i=3 slot=16 mode=full gen=1", "UPDATE", "slot"},
-                    BadInput{"ELAPSED i=3", "ELAPSED", "name"},
-                    BadInput{"MANIFEST slot=99 elements=1", "MANIFEST", "slot"},
-                    BadInput{"DATAGRAM i=3 sender=1 content=zz", "DATAGRAM", "content"}));
+    All, MalformedInputTest,
+    testing::Values(MalformedInput{"JOB_IN i=3 qos=0 ttl_us=5", "JOB_IN", "rid"},
+                    MalformedInput{"JOB_IN i=3 rid=x qos=0 ttl_us=5", "JOB_IN", "rid"},
+                    MalformedInput{"JOB_IN i=3 rid=1 qos=7 ttl_us=5", "JOB_IN", "qos"},
+                    MalformedInput{"JOB_IN rid=1 qos=0 ttl_us=5", "JOB_IN", "i"},
+                    MalformedInput{"ENDED i=3 rid=1 leg=0 upstream=u verdict=11 rtt_us=1", "ENDED",
+                                   "verdict"},
+                    MalformedInput{"ENDED i=3 rid=1 leg=0 verdict=10 rtt_us=1", "ENDED", "upstream"},
+                    MalformedInput{"ENDED i=3 rid=1 leg=0 upstream=u verdict=10 rtt_us=1 settled=yes",
+                                   "ENDED", "settled"},
+                    MalformedInput{"ENDED i=3 rid=1 leg=0 upstream=u verdict=10 rtt_us=1 health_info=a,1",
+                                   "ENDED", "health_info"},
+                    MalformedInput{"UPDATE i=3 slot=0 mode=odd gen=1", "UPDATE", "mode"},
+                    MalformedInput{"UPDATE i=3 slot=16 mode=full gen=1", "UPDATE", "slot"},
+                    MalformedInput{"ELAPSED i=3", "ELAPSED", "name"},
+                    MalformedInput{"MANIFEST slot=99 elements=1", "MANIFEST", "slot"},
+                    MalformedInput{"DATAGRAM i=3 sender=1 content=zz", "DATAGRAM", "content"}));
 
 TEST(WireTest, InputEndingInsideABatchIsAnError) {
-  const Result result = Play("FRAME time_us=8\n");
+  const Result result = RunHost("FRAME time_us=8\n");
   EXPECT_EQ(result.status, 2);
   EXPECT_NE(result.errors.find("inside a batch"), std::string::npos);
 }
 
-TEST(WireTest, SenselessSettingsBailOutByName) {
+TEST(WireTest, InvalidSettingBailsOutWithItsName) {
   const Result result =
-      Play("FRAME time_us=8\nCONFIGURE i=1 nonce64=1 request_classes.count=1 period_us=-5\nEOB\n");
+      RunHost("FRAME time_us=8\nCONFIGURE i=1 nonce64=1 request_classes.count=1 period_us=-5\nEOB\n");
   EXPECT_NE(result.out.find("BAIL_OUT i=1 what=setting makes no sense: tick"), std::string::npos)
       << result.out;
 }
 
-TEST(WireTest, NewSettingsAreReadAndAbsentOnesMeanNoRule) {
-  const Fields with(
+TEST(WireTest, OptionalSettingsAreParsedAndDefaultToNoRule) {
+  const Fields configured(
       "CONFIGURE i=1 nonce64=1 result_mix.punctual=0.2 result_mix.tail_slack=0.03 rules.let_go_in_us=300000 "
       "rules.soft_removal=true");
-  const Settings s = ParseConfiguration(with).settings;
+  const Settings s = ParseConfiguration(configured).settings;
   EXPECT_DOUBLE_EQ(s.tail_weight, 0.2);
   EXPECT_DOUBLE_EQ(s.tail_slack, 0.03);
   EXPECT_EQ(s.close_idle_within, 300'000);
   EXPECT_TRUE(s.only_draining_binds);
-  const Settings none = ParseConfiguration(Fields("CONFIGURE i=1 nonce64=1")).settings;
-  EXPECT_EQ(none.tail_weight, 0);
-  EXPECT_EQ(none.close_idle_within, 0);
-  EXPECT_FALSE(none.only_draining_binds);
+  const Settings defaults = ParseConfiguration(Fields("CONFIGURE i=1 nonce64=1")).settings;
+  EXPECT_EQ(defaults.tail_weight, 0);
+  EXPECT_EQ(defaults.close_idle_within, 0);
+  EXPECT_FALSE(defaults.only_draining_binds);
 }
 
 TEST(WireTest, EveryActionIsWritten) {
-  Names names;
+  UpstreamNames names;
   const UpstreamId u = names.Intern("word");
   std::string out;
   for (const Action& action :
