--- a/tests/decide/choice_test.cpp
+++ b/tests/decide/choice_test.cpp
@@ -1,3 +1,5 @@
+// Tests of the decision module through its public interface: settings, retries, draining, slow start,
+// selection, ejection, load shedding and streaming bodies. Time is simulated; nothing is sent.
 #include <gtest/gtest.h>
 #include <malloc.h>
 
@@ -51,7 +53,8 @@
   return entries;
 }
 
-// Drives one balancer: keeps the clock, its timers and the attempts that are out.
+// Drives one balancer in simulated time: keeps the clock, the balancer's timers and its attempts in flight,
+// and records every action.
 class Driver {
  public:
   struct Attempt {
@@ -59,8 +62,8 @@
     int attempt;
     UpstreamId upstream;
     Micros sent;
-    Micros timeout_at;  // 0: no time-out of its own
-    Micros send_by;     // 0: its last byte may go out at any time
+    Micros timeout_at;  // 0: no timeout of its own
+    Micros send_by;     // 0: no limit on when its last byte may be sent
     bool cancelled = false;
   };
 
@@ -77,24 +80,27 @@
     balancer().OnList(now, kind, entries, &actions);
     Apply(actions);
   }
-  void Arrive(RequestId id, Micros left = 6 * kSecond, int request_class = 0, int tenant = 0) {
+  // A request arrives from a client.
+  void Arrive(RequestId id, Micros time_left = 6 * kSecond, int request_class = 0, int tenant = 0) {
     Request r;
     r.id = id;
     r.request_class = request_class;
-    r.time_left = left;
+    r.time_left = time_left;
     r.tenant = tenant;
-    deadlines[id] = now + left;
+    deadlines[id] = now + time_left;
     Actions actions;
     balancer().OnRequest(now, r, &actions);
     Apply(actions);
   }
-  // Ends the oldest attempt of a request that is out.
+  // Ends the oldest attempt in flight of a request.
   void EndAttemptOf(RequestId id, Outcome outcome, double count = 1) {
     const auto it =
         std::find_if(in_flight.begin(), in_flight.end(), [&](const Attempt& o) { return o.request == id; });
     ASSERT_NE(it, in_flight.end());
     EndAttempt(static_cast<size_t>(it - in_flight.begin()), outcome, count);
   }
+  // Ends the attempt at `index` of in_flight; `count` is the number of requests in flight that its upstream
+  // reports.
   void EndAttempt(size_t index, Outcome outcome, double count = 1) {
     const Attempt o = in_flight[index];
     in_flight.erase(in_flight.begin() + static_cast<std::ptrdiff_t>(index));
@@ -118,30 +124,33 @@
     balancer().OnAttemptEnd(now, end, &actions);
     Apply(actions);
   }
-  void ReportBody(RequestId id, std::optional<Micros> left) {
+  // See Balancer::OnBody().
+  void ReportBody(RequestId id, std::optional<Micros> time_left) {
     Actions actions;
-    balancer().OnBody(now, id, left, &actions);
+    balancer().OnBody(now, id, time_left, &actions);
     Apply(actions);
   }
+  // The first attempt's response starts to stream to the client.
   void StartResponseStream(RequestId id) {
     Actions actions;
     balancer().OnStreamStart(now, id, 0, &actions);
     Apply(actions);
   }
-  // Answers the pending_checks that are out with the counts given, and returns whom they asked.
+  // Answers the pending checks with the counts given and returns the upstreams checked.
   template <typename CountOf>
   std::vector<UpstreamId> AnswerChecks(CountOf count_of) {
-    const std::vector<UpstreamId> asked = pending_checks;
+    const std::vector<UpstreamId> checked = pending_checks;
     pending_checks.clear();
-    for (const UpstreamId u : asked) {
+    for (const UpstreamId u : checked) {
       LoadReport report;
       report.in_flight = count_of(u);
       Actions actions;
       balancer().OnCheck(now, u, Outcome::kOk, report, &actions);
       Apply(actions);
     }
-    return asked;
+    return checked;
   }
+  // Advances the clock and fires the timers that are due on the way.
   void Advance(Micros by) {
     const Micros until = now + by;
     while (!timers.empty() && timers.begin()->first <= until) {
@@ -171,10 +180,10 @@
   std::map<RequestId, Micros> answered_at;
   std::map<RequestId, Micros> deadlines;
   std::vector<RequestId> refused, failed;
-  std::vector<Micros> retry_after;         // the advice that came with each refusal
-  std::vector<UpstreamId> pending_checks;  // asked for and not answered yet
+  std::vector<Micros> retry_after;         // from each Refuse action
+  std::vector<UpstreamId> pending_checks;  // requested and not answered yet
   std::vector<Micros> subscribe_times;
-  std::vector<UpstreamId> closed_idle;  // idle connections closed_idle, in order
+  std::vector<UpstreamId> closed_idle;  // upstreams whose idle connections were closed, in order
   std::string trace;
 
  private:
@@ -185,7 +194,7 @@
   void Apply(const Actions& actions) {
     for (const Action& action : actions) {
       if (const auto* a = std::get_if<Send>(&action)) {
-        EXPECT_EQ(final_answers[a->request], 0) << "sent after its end";
+        EXPECT_EQ(final_answers[a->request], 0) << "sent after its final answer";
         const int attempt = SendsOf(a->request);
         const auto until = [this](Micros time) { return time > 0 ? now + time : 0; };
         in_flight.push_back(
@@ -220,7 +229,8 @@
   std::vector<Balancer> balancer_;
 };
 
-// Ends what has been out for 50 ms, with what `outcome_of` and `count_of` say of the upstream.
+// Ends every attempt that has been in flight for 50 ms, with the outcome and the reported count of its
+// upstream.
 template <typename OutcomeOf, typename CountOf>
 void EndDueAttempts(Driver* d, OutcomeOf outcome_of, CountOf count_of) {
   for (size_t k = d->in_flight.size(); k-- > 0;) {
@@ -231,17 +241,17 @@
   }
 }
 
-// All instances of a tier, each with `warm` upstreams in its list.
-std::vector<Driver> MakeFleet(const Settings& settings, UpstreamId warm) {
+// All balancers of a tier, each with the same `upstreams` ready upstreams in its list.
+std::vector<Driver> MakeFleet(const Settings& settings, UpstreamId upstreams) {
   std::vector<Driver> drivers;
   for (int i = 0; i < settings.balancers; ++i) {
     drivers.emplace_back(settings, static_cast<std::uint64_t>(i + 1));
-    drivers.back().UpdateList(ReadyUpstreams(warm));
+    drivers.back().UpdateList(ReadyUpstreams(upstreams));
   }
   return drivers;
 }
 
-// Every instance gets `per_second` requests a second for a while.
+// Sends `per_second` requests a second to every balancer for `time`.
 template <typename OutcomeOf, typename CountOf>
 void RunFleet(std::vector<Driver>* drivers, RequestId* next, Micros time, int per_second,
               OutcomeOf outcome_of, CountOf count_of) {
@@ -254,7 +264,7 @@
   }
 }
 
-// When any of them sent to an upstream, in order.
+// The times of all sends to an upstream, sorted.
 std::vector<Micros> SendTimes(const std::vector<Driver>& drivers, UpstreamId upstream) {
   std::vector<Micros> sends;
   for (const Driver& d : drivers) {
@@ -269,7 +279,7 @@
 // --- Settings ---
 
 TEST(SettingsTest, InvalidSettingIsNamedInTheError) {
-  const auto name_of = [](auto change) -> std::string {
+  const auto error_of = [](auto change) -> std::string {
     Settings s = BasicSettings();
     change(&s);
     Actions out;
@@ -280,61 +290,63 @@
     }
     return "accepted";
   };
-  EXPECT_NE(name_of([](Settings* s) { s->max_attempts = 0; }).find("max_attempts"), std::string::npos);
-  EXPECT_NE(name_of([](Settings* s) { s->cold_time = -1; }).find("cold_time"), std::string::npos);
-  EXPECT_NE(name_of([](Settings* s) { s->start_capacity = std::nan(""); }).find("start_capacity"),
+  EXPECT_NE(error_of([](Settings* s) { s->max_attempts = 0; }).find("max_attempts"), std::string::npos);
+  EXPECT_NE(error_of([](Settings* s) { s->cold_time = -1; }).find("cold_time"), std::string::npos);
+  EXPECT_NE(error_of([](Settings* s) { s->start_capacity = std::nan(""); }).find("start_capacity"),
             std::string::npos);
-  EXPECT_NE(name_of([](Settings* s) { s->classes[0].aim = -1; }).find("aim"), std::string::npos);
-  EXPECT_NE(name_of([](Settings* s) { s->classes.clear(); }).find("classes"), std::string::npos);
-  EXPECT_NE(name_of([](Settings* s) { s->close_idle_within = -1; }).find("close_idle_within"),
+  EXPECT_NE(error_of([](Settings* s) { s->classes[0].aim = -1; }).find("aim"), std::string::npos);
+  EXPECT_NE(error_of([](Settings* s) { s->classes.clear(); }).find("classes"), std::string::npos);
+  EXPECT_NE(error_of([](Settings* s) { s->close_idle_within = -1; }).find("close_idle_within"),
             std::string::npos);
-  EXPECT_NE(name_of([](Settings* s) { s->check_price = -1; }).find("check_price"), std::string::npos);
-  EXPECT_NE(name_of([](Settings* s) { s->tail_weight = std::nan(""); }).find("tail_weight"),
+  EXPECT_NE(error_of([](Settings* s) { s->check_price = -1; }).find("check_price"), std::string::npos);
+  EXPECT_NE(error_of([](Settings* s) { s->tail_weight = std::nan(""); }).find("tail_weight"),
             std::string::npos);
-  EXPECT_NE(name_of([](Settings* s) { s->tail_slack = -0.1; }).find("tail_slack"), std::string::npos);
-  EXPECT_EQ(name_of([](Settings*) {}), "accepted");
+  EXPECT_NE(error_of([](Settings* s) { s->tail_slack = -0.1; }).find("tail_slack"), std::string::npos);
+  EXPECT_EQ(error_of([](Settings*) {}), "accepted");
 }
 
-// --- The effect rule, as a table ---
+// --- Retry rules, as a table ---
 
 enum class Location { kSameGroup, kOtherGroup };
 using RetryCase = std::tuple<Repeat, Group, bool /*window open*/, Outcome, Location>;
 
 class RetrySafetyTest : public testing::TestWithParam<RetryCase> {};
 
-// One attempt ends; one other upstream stands ready, in the first one's group or not. What follows must be
-// what the class allows, worked out here a second time and in another way.
+// One attempt ends while one other upstream is ready, in the group of the first or outside it. The expected
+// resends are computed here a second time, independently of the balancer's code.
 TEST_P(RetrySafetyTest, ResendsOnlyWhereTheClassAllows) {
-  const auto [repeat, group, window_open, outcome, where] = GetParam();
+  const auto [repeat, group, window_open, outcome, location] = GetParam();
   Settings s = BasicSettings();
   s.classes[0].repeat = repeat;
   s.classes[0].group = group;
   s.classes[0].window = window_open ? 5 * kSecond : 100'000;
   Driver d(s);
-  const int other = where == Location::kSameGroup ? 0 : 1;
+  const int other_group = location == Location::kSameGroup ? 0 : 1;
   d.UpdateList({Entry(1, 0, 0, 0)});
   d.Arrive(7);
   ASSERT_EQ(d.SendsOf(7), 1);
-  d.UpdateList({Entry(1, 0, 0, 0), Entry(2, 0, other, other)});
+  d.UpdateList({Entry(1, 0, 0, 0), Entry(2, 0, other_group, other_group)});
   d.Advance(140'000);
   ASSERT_EQ(d.in_flight.size(), 1u);
-  const Micros first = d.in_flight[0].sent;
-  // Whoever carries it has to know how long it may leave for: connections may come up late, and a copy may
-  // have run by then.
+  const Micros first_send = d.in_flight[0].sent;
+  // Every send of a keyed request carries its latest send time: a connection may be set up late, and by then
+  // a copy may have run and the deduplication window may have closed.
   const Micros window = s.classes[0].window - s.classes[0].window / 20;
-  const auto send_by = [&](Micros opened) { return repeat == Repeat::kKeyed ? opened + window : 0; };
-  EXPECT_EQ(d.in_flight[0].send_by, send_by(first));
+  const auto send_by = [&](Micros window_start) {
+    return repeat == Repeat::kKeyed ? window_start + window : 0;
+  };
+  EXPECT_EQ(d.in_flight[0].send_by, send_by(first_send));
   d.EndAttemptOf(7, outcome);
   const bool never_ran =
       outcome == Outcome::kRejected || outcome == Outcome::kConnectFailed || outcome == Outcome::kNotSent;
   const bool anywhere = never_ran || repeat == Repeat::kSafe;
   const bool in_group =
-      repeat == Repeat::kKeyed && window_open && (group == Group::kAll || where == Location::kSameGroup);
+      repeat == Repeat::kKeyed && window_open && (group == Group::kAll || location == Location::kSameGroup);
   if (!anywhere && !in_group) {
-    EXPECT_FALSE(d.SendsTo(2) > 0) << "went out again where it must not";
+    EXPECT_FALSE(d.SendsTo(2) > 0) << "resent where the class forbids it";
   } else {
     ASSERT_EQ(d.SendsTo(2), 1);
-    EXPECT_EQ(d.in_flight[0].send_by, send_by(never_ran ? d.in_flight[0].sent : first));
+    EXPECT_EQ(d.in_flight[0].send_by, send_by(never_ran ? d.in_flight[0].sent : first_send));
   }
   if (!anywhere && !(repeat == Repeat::kKeyed && group == Group::kAll)) {
     d.Advance(10 * kSecond);
@@ -369,7 +381,7 @@
   s.tier = GetParam() % 2;
   Driver d(s, static_cast<std::uint64_t>(GetParam()));
   RequestId next = 1;
-  const auto list = [&] {
+  const auto update_list = [&] {
     std::vector<UpstreamEntry> entries;
     for (UpstreamId u = 1; u <= 6; ++u) {
       if (random() % 5 == 0) continue;
@@ -378,20 +390,21 @@
     }
     d.UpdateList(entries);
   };
-  list();
+  update_list();
   for (int step = 0; step < 4000; ++step) {
-    const unsigned what = step < 3000 ? random() % 100 : 99;  // at the end only time passes
-    if (what < 35)
+    const unsigned event = step < 3000 ? random() % 100 : 99;  // only time passes at the end
+    if (event < 35)
       d.Arrive(next++, static_cast<Micros>(random() % 3'000'000), static_cast<int>(random() % 3));
-    if (what >= 35 && what < 75 && !d.in_flight.empty()) {
-      static constexpr Outcome kAll[] = {Outcome::kOk,       Outcome::kOk,      Outcome::kError,
-                                         Outcome::kRejected, Outcome::kTimeout, Outcome::kConnectFailed,
-                                         Outcome::kReset,    Outcome::kSpoilt,  Outcome::kUnfit};
-      d.EndAttempt(random() % d.in_flight.size(), kAll[random() % 9], static_cast<double>(random() % 20));
+    if (event >= 35 && event < 75 && !d.in_flight.empty()) {
+      static constexpr Outcome kOutcomes[] = {Outcome::kOk,       Outcome::kOk,      Outcome::kError,
+                                              Outcome::kRejected, Outcome::kTimeout, Outcome::kConnectFailed,
+                                              Outcome::kReset,    Outcome::kSpoilt,  Outcome::kUnfit};
+      d.EndAttempt(random() % d.in_flight.size(), kOutcomes[random() % 9],
+                   static_cast<double>(random() % 20));
     }
-    if (what == 75) list();
+    if (event == 75) update_list();
     d.Advance(static_cast<Micros>(random() % 20'000));
-    // What the network does: time-in_flight of attempts, of deadlines, and cancels come back.
+    // Like the network: attempts end at their timeout or at the deadline, and cancelled ones come back.
     for (size_t i = 0; i < d.in_flight.size();) {
       const Driver::Attempt& o = d.in_flight[i];
       const bool due = (o.timeout_at > 0 && o.timeout_at <= d.now) || d.deadlines[o.request] <= d.now;
@@ -429,18 +442,19 @@
   EXPECT_EQ(d.final_answers[1], 0);
   d.UpdateList({Entry(1)});
   EXPECT_EQ(d.SendsOf(1), 1);
-  Settings late = BasicSettings();
-  late.classes[0].late_share = 1;
-  Driver empty(late);
-  empty.Arrive(1);
-  const Micros half = empty.now + 3 * kSecond;
-  empty.Advance(6 * kSecond);
-  EXPECT_EQ(empty.final_answers[1], 1);
-  EXPECT_LT(empty.answered_at[1], half - 200'000) << "unsent, it is given up before half of its time is over";
-}
-
-// Late answers earn nothing, so an attempt is cut at the aim; not where the aim grows with work that is
-// unknown.
+  Settings late_settings = BasicSettings();
+  late_settings.classes[0].late_share = 1;
+  Driver without_upstreams(late_settings);
+  without_upstreams.Arrive(1);
+  const Micros half = without_upstreams.now + 3 * kSecond;
+  without_upstreams.Advance(6 * kSecond);
+  EXPECT_EQ(without_upstreams.final_answers[1], 1);
+  EXPECT_LT(without_upstreams.answered_at[1], half - 200'000)
+      << "an unsent request is given up before half its time is over";
+}
+
+// A late answer is worth nothing, so an attempt times out at the aim. Where the aim grows with the request's
+// work and that work is unknown, there is no such timeout.
 TEST(RequestTest, AttemptTimesOutAtTheAimOnlyIfTheAimIsKnown) {
   for (const double stretch : {0.0, 3.0}) {
     Settings s = BasicSettings();
@@ -454,27 +468,27 @@
 }
 
 TEST(PickTest, TieGoesToAnUpstreamWithAnOpenConnection) {
-  constexpr Micros kIdle = 2 * kSecond;
-  const auto connections_opened = [](Micros told) {
+  constexpr Micros kIdleTimeout = 2 * kSecond;
+  const auto connections_opened = [](Micros connection_idle) {
     Settings s = BasicSettings();
-    s.connection_idle = told;
+    s.connection_idle = connection_idle;
     Driver d(s);
-    std::vector<UpstreamEntry> many;
-    for (UpstreamId u = 1; u <= 20; ++u) many.push_back(Entry(u));
-    d.UpdateList(many);
-    std::map<UpstreamId, Micros> used;
+    std::vector<UpstreamEntry> entries;
+    for (UpstreamId u = 1; u <= 20; ++u) entries.push_back(Entry(u));
+    d.UpdateList(entries);
+    std::map<UpstreamId, Micros> last_use;
     int opened = 0;
     for (RequestId id = 1; id <= 400; ++id) {
       d.Arrive(id);
-      Micros& last = used[d.sent_to.back()];
-      opened += last == 0 || d.now - last > kIdle;
+      Micros& last = last_use[d.sent_to.back()];
+      opened += last == 0 || d.now - last > kIdleTimeout;
       last = d.now;
       d.Advance(500'000);
       d.EndAttemptOf(id, Outcome::kOk, 3);
     }
     return opened;
   };
-  EXPECT_LT(connections_opened(kIdle), connections_opened(0) - 15);
+  EXPECT_LT(connections_opened(kIdleTimeout), connections_opened(0) - 15);
 }
 
 TEST(RequestTest, UnknownIdsAreIgnored) {
@@ -497,9 +511,9 @@
   for (const UpstreamState state : {UpstreamState::kDraining, UpstreamState::kGone}) {
     Driver d(BasicSettings());
     d.UpdateList({Entry(1), Entry(2)});
-    UpstreamEntry gone = Entry(1);
-    gone.state = state;
-    d.UpdateList({gone}, ListUpdate::kChanges);
+    UpstreamEntry changed = Entry(1);
+    changed.state = state;
+    d.UpdateList({changed}, ListUpdate::kChanges);
     for (RequestId id = 1; id <= 50; ++id) {
       d.Arrive(id);
       d.Advance(10'000);
@@ -512,11 +526,12 @@
   }
 }
 
-// Guards against connections that stay open: after the notice, and after an outcome that comes long after it.
+// An idle connection to a draining upstream must be closed when draining starts, and again after an attempt
+// that ends long after that and frees its connection.
 TEST(DrainTest, IdleConnectionsCloseWhenDrainingStartsAndAfterEachAttempt) {
-  for (const Micros within : {Micros{0}, Micros{300'000}}) {
+  for (const Micros close_idle_within : {Micros{0}, Micros{300'000}}) {
     Settings s = BasicSettings();
-    s.close_idle_within = within;
+    s.close_idle_within = close_idle_within;
     Driver d(s);
     d.UpdateList({Entry(1)});
     d.Arrive(1);
@@ -524,28 +539,29 @@
     UpstreamEntry draining = Entry(1);
     draining.state = UpstreamState::kDraining;
     d.UpdateList({draining}, ListUpdate::kChanges);
-    const size_t each = within > 0 ? 1 : 0;
-    EXPECT_EQ(d.closed_idle.size(), each);
+    const size_t per_event = close_idle_within > 0 ? 1 : 0;
+    EXPECT_EQ(d.closed_idle.size(), per_event);
     d.Advance(3 * kSecond);
     d.EndAttemptOf(1, Outcome::kOk);
-    EXPECT_EQ(d.closed_idle.size(), 2 * each);
+    EXPECT_EQ(d.closed_idle.size(), 2 * per_event);
     draining.state = UpstreamState::kGone;
     d.UpdateList({draining}, ListUpdate::kChanges);
     const size_t before = d.closed_idle.size();
     d.EndAttemptOf(2, Outcome::kReset);
-    EXPECT_EQ(d.closed_idle.size(), before + each);
+    EXPECT_EQ(d.closed_idle.size(), before + per_event);
     d.UpdateList({Entry(1, d.now)}, ListUpdate::kChanges);
-    EXPECT_EQ(d.closed_idle.size(), before + each) << "one that runs again keeps its connections";
+    EXPECT_EQ(d.closed_idle.size(), before + per_event) << "a restarted upstream keeps its connections";
   }
 }
 
-// Where only draining binds, a list that loses most servers costs nothing while they serve, and each that is
-// gone in truth costs one call; one that drained before gets nothing, listed as gone or not.
+// With only_draining_binds, a list that loses most upstreams must not take them out of use: they are still
+// sent to, and one that is really down costs one failed attempt. An upstream that was draining before gets
+// nothing, whether it is then listed as gone or missing.
 TEST(DrainTest, WithOnlyDrainingBindsUnlistedUpstreamsStayInUse) {
-  for (const bool soft : {false, true}) {
+  for (const bool only_draining_binds : {false, true}) {
     for (const bool missing : {false, true}) {
       Settings s = BasicSettings();
-      s.only_draining_binds = soft;
+      s.only_draining_binds = only_draining_binds;
       Driver d(s);
       d.UpdateList(ReadyUpstreams(12));
       std::vector<UpstreamEntry> changed = ReadyUpstreams(12);
@@ -557,31 +573,30 @@
       for (RequestId id = 1; id <= 600; ++id) {
         d.Arrive(id);
         while (d.final_answers[id] == 0) {
-          const bool dead = d.sent_to.back() == 2;
+          const bool is_down = d.sent_to.back() == 2;
           d.Advance(10'000);
-          d.EndAttemptOf(id, dead ? Outcome::kConnectFailed : Outcome::kOk);
+          d.EndAttemptOf(id, is_down ? Outcome::kConnectFailed : Outcome::kOk);
         }
       }
-      EXPECT_EQ(d.SendsTo(1), 0) << "it drained";
-      EXPECT_EQ(d.SendsTo(2), soft ? 1 : 0);
-      EXPECT_EQ(d.SendsTo(5) > 20, soft);
+      EXPECT_EQ(d.SendsTo(1), 0) << "it was draining before";
+      EXPECT_EQ(d.SendsTo(2), only_draining_binds ? 1 : 0);
+      EXPECT_EQ(d.SendsTo(5) > 20, only_draining_binds);
       d.UpdateList(ReadyUpstreams(12));
       for (RequestId id = 1001; id <= 1300; ++id) {
         d.Arrive(id);
         d.Advance(10'000);
         d.EndAttemptOf(id, Outcome::kOk);
       }
-      EXPECT_GT(d.SendsTo(2), 5) << "the true list brings it back";
+      EXPECT_GT(d.SendsTo(2), 5) << "the corrected list brings it back";
     }
   }
 }
 
-// A list of long ago comes again and then the true one: what was learnt of a server since its start holds.
-// Servers replaced all day by ones with new ids: what is kept of them must not grow, and the living stay in
-// use.
+// Upstreams are replaced all day by ones with new ids. The state kept of them must not grow, and the listed
+// ones must stay in use.
 TEST(ListTest, StateOfRemovedUpstreamsIsFreed) {
   Driver d(BasicSettings());
-  const auto day = [&](UpstreamId from, UpstreamId to) {
+  const auto replace_upstreams = [&](UpstreamId from, UpstreamId to) {
     for (UpstreamId id = from; id < to; ++id) {
       d.UpdateList({Entry(id), Entry(id + 1), Entry(id + 2)});
       d.Arrive(id, kSecond);
@@ -590,24 +605,26 @@
       d.Advance(900'000);
     }
   };
-  day(1, 200);
+  replace_upstreams(1, 200);
   const auto heap = [] { return mallinfo2().uordblks + mallinfo2().hblkhd; };
   const auto before = heap();
   const size_t sends = d.sent_to.size();
-  day(200, 5'200);
+  replace_upstreams(200, 5'200);
   EXPECT_EQ(d.sent_to.size(), sends + 5'000);
   for (size_t i = sends; i < d.sent_to.size(); ++i) EXPECT_LE(d.sent_to[i] - d.sent_ids[i], 2u);
-  // The driver's own notes take some 240 bytes a request; a server that is kept takes 400 more. Under a
-  // sanitizer's allocator there is nothing to be read here.
+  // The driver's own records take about 240 bytes a request; an upstream that is not freed takes 400 more.
+  // mallinfo2() reports nothing useful under a sanitizer's allocator.
   EXPECT_LT(heap(), before + 5'000 * 400);
 }
 
+// An outdated list with earlier start times arrives, then the current one. What was learned of an upstream
+// since its start must still hold.
 TEST(DrainTest, StaleListDoesNotResetKnownStartTime) {
   Driver d(BasicSettings());
   const Micros started = d.now - 30 * kSecond;
   d.UpdateList({Entry(1, started), Entry(2, started)});
   d.Arrive(1);
-  const UpstreamId dead = d.sent_to.back();
+  const UpstreamId unreachable = d.sent_to.back();
   d.EndAttemptOf(1, Outcome::kConnectFailed);
   d.UpdateList({Entry(1, started - 50 * kSecond), Entry(2, started - 50 * kSecond)});
   d.UpdateList({Entry(1, started), Entry(2, started)});
@@ -616,7 +633,7 @@
     d.Advance(10'000);
     d.EndAttemptOf(id, Outcome::kOk);
   }
-  EXPECT_EQ(d.SendsTo(dead), 1);
+  EXPECT_EQ(d.SendsTo(unreachable), 1);
 }
 
 TEST(DrainTest, FailedSubscriptionIsRenewedWithinTheInterval) {
@@ -632,12 +649,12 @@
   }
 }
 
-// --- Cold upstreams ---
+// --- Cold upstreams (slow start) ---
 
-// ReadyUpstreams instances, one cold upstream: all together stay under the multiple of what it can do, over
-// every span.
-TEST(SlowStartTest, BudgetHoldsOverEverySpanWithAllInstancesTogether) {
-  constexpr int kBalancers = 4, kWarm = 6, kPerSecond = 60;  // requests a second and instance
+// One upstream is cold. All balancers together must stay below the multiple of its current capacity that
+// makes it fall over, in every time span.
+TEST(SlowStartTest, BudgetHoldsInEverySpanForAllBalancersTogether) {
+  constexpr int kBalancers = 4, kWarm = 6, kPerSecond = 60;  // requests a second and balancer
   Settings s = BasicSettings();
   s.balancers = kBalancers;
   std::vector<Driver> drivers = MakeFleet(s, kWarm);
@@ -652,24 +669,24 @@
   for (Driver& d : drivers) d.UpdateList({Entry(99, d.now)}, ListUpdate::kChanges);
   const Micros start = drivers[0].now;
   run(3 * kSecond, Outcome::kOk);
-  run(3 * kSecond, Outcome::kConnectFailed);  // all others go down, and the cold one must still be spared
+  run(3 * kSecond, Outcome::kConnectFailed);  // all others fail, and the cold one must still be protected
   const std::vector<Micros> sends = SendTimes(drivers, 99);
   ASSERT_GT(sends.size(), 10u) << "a cold upstream gets its share";
-  // A warm one takes kBalancers * kPerSecond / kWarm a second.
-  const double full = static_cast<double>(kBalancers * kPerSecond) / kWarm;
+  // A warm upstream gets kBalancers * kPerSecond / kWarm a second.
+  const double warm_rate = static_cast<double>(kBalancers * kPerSecond) / kWarm;
   for (size_t i = 0; i < sends.size(); ++i) {
     const double in_span =
         static_cast<double>(std::upper_bound(sends.begin(), sends.end(), sends[i] + s.fall_time) -
                             (sends.begin() + static_cast<long>(i)));
     const double age = static_cast<double>(sends[i] - start) / static_cast<double>(s.cold_time);
-    const double allowed = s.fall_multiple * full * (s.start_capacity + (1 - s.start_capacity) * age);
+    const double allowed = s.fall_multiple * warm_rate * (s.start_capacity + (1 - s.start_capacity) * age);
     EXPECT_LE(in_span, allowed) << "after " << sends[i] - start << " us";
   }
 }
 
-// Hundreds of instances with a few requests a second each: what each could have sent to the cold server while
-// all was well must not come in the second in which the others fail.
-TEST(SlowStartTest, HundredsOfInstancesDoNotAccumulateBudgetForABurst) {
+// Hundreds of balancers send a few requests a second each. The budget for the cold upstream that each leaves
+// unused while all is well must not be spent at once in the second in which the other upstreams fail.
+TEST(SlowStartTest, HundredsOfBalancersDoNotAccumulateBudgetForABurst) {
   constexpr int kBalancers = 240, kWarm = 12;
   Settings s = BasicSettings();
   s.balancers = kBalancers;
@@ -678,7 +695,7 @@
   s.fall_multiple = 2;
   std::vector<Driver> drivers = MakeFleet(s, kWarm);
   RequestId next = 1;
-  // One request each `every`, half as often for every second instance.
+  // One request per `every`, and half as often for every second balancer.
   const auto run = [&](int steps, Micros every, Outcome warm_outcome) {
     for (int step = 0; step < steps; ++step) {
       for (size_t i = 0; i < drivers.size(); ++i) {
@@ -695,24 +712,26 @@
   for (Driver& d : drivers) d.UpdateList({Entry(99, d.now)}, ListUpdate::kChanges);
   const Micros start = drivers[0].now;
   run(40, kSecond / 4, Outcome::kOk);
-  run(30, kSecond / 10, Outcome::kConnectFailed);  // 2.5 times the traffic, and nobody else left
+  run(30, kSecond / 10, Outcome::kConnectFailed);  // 2.5 times the traffic, and no other upstream left
   const std::vector<Micros> sends = SendTimes(drivers, 99);
-  EXPECT_GT(sends.size(), 50u) << "it must get enough to warm by";
-  const double full = kBalancers * 0.75 * 4 / kWarm;  // a second, at a warm one
+  EXPECT_GT(sends.size(), 50u) << "it needs enough requests to warm up";
+  const double warm_rate = kBalancers * 0.75 * 4 / kWarm;  // a second, at a warm upstream
   for (size_t i = 0; i < sends.size(); ++i) {
     const double share = 0.14 + 0.86 * static_cast<double>(sends[i] - start) / (19.0 * kSecond);
     const auto end = std::lower_bound(sends.begin(), sends.end(), sends[i] + kSecond);
-    EXPECT_LE(end - sends.begin() - static_cast<std::ptrdiff_t>(i), 2 * share * full) << sends[i] - start;
+    EXPECT_LE(end - sends.begin() - static_cast<std::ptrdiff_t>(i), 2 * share * warm_rate)
+        << sends[i] - start;
   }
 }
 
-// The most by which a cold server's sends in a span go over what chance may add to its budget N, N + 2
-// sqrt(N) + 2, where 25 instances of uneven traffic have a burst just when it starts and half of the warm
-// ones fail. `told` is the count of instances that each of them believes in.
-double MaxExcessOverBudget(int told, std::uint64_t seed) {
+// 25 balancers with uneven traffic get a burst just when a cold upstream starts and half of the warm ones
+// fail. Returns the largest excess, over all spans of fall_time, of the sends to the cold upstream over its
+// budget N plus random variation, N + 2 sqrt(N) + 2. `configured_balancers` is the number of balancers that
+// the settings of each name.
+double MaxExcessOverBudget(int configured_balancers, std::uint64_t seed) {
   constexpr int kBalancers = 25, kWarm = 20;
   Settings s = BasicSettings();
-  s.balancers = told;
+  s.balancers = configured_balancers;
   s.start_capacity = 0.13;
   s.cold_time = 22 * kSecond;
   s.fall_multiple = 4;
@@ -735,36 +754,38 @@
     }
   };
   run(400, kSecond / 10, false);
-  double served = 0;
-  for (const Driver& d : drivers) served += static_cast<double>(d.sent_to.size());
-  const double full = served / 40 / kWarm;  // a second, at a warm one
+  double total_sends = 0;
+  for (const Driver& d : drivers) total_sends += static_cast<double>(d.sent_to.size());
+  const double warm_rate = total_sends / 40 / kWarm;  // a second, at a warm upstream
   for (Driver& d : drivers) d.UpdateList({Entry(99, d.now)}, ListUpdate::kChanges);
   const Micros start = drivers[0].now;
   run(150, kSecond / 25, true);
   const std::vector<Micros> sends = SendTimes(drivers, 99);
-  double over = -1e9;
+  double max_excess = -1e9;
   for (size_t i = 0; i < sends.size(); ++i) {
     const double age = static_cast<double>(sends[i] - start) / static_cast<double>(s.cold_time);
-    const double budget = s.fall_multiple * full * (s.start_capacity + (1 - s.start_capacity) * age);
+    const double budget = s.fall_multiple * warm_rate * (s.start_capacity + (1 - s.start_capacity) * age);
     const auto end = std::lower_bound(sends.begin(), sends.end(), sends[i] + s.fall_time);
     const double sent = static_cast<double>(end - sends.begin()) - static_cast<double>(i);
-    over = std::max(over, sent - (budget + 2 * std::sqrt(budget) + 2));
+    max_excess = std::max(max_excess, sent - (budget + 2 * std::sqrt(budget) + 2));
   }
-  return over;
+  return max_excess;
 }
 
-// The ramp is the fleet's: no peer says anything, each takes its part by the settings' count of instances.
-// And a control: where each ramps as if it were alone, the sum pushes the server over.
-TEST(SlowStartTest, TwentyFiveInstancesShareOneRamp) {
-  int broken_alone = 0;
+// Balancers exchange nothing about the ramp of a cold upstream; each takes its share by the number of
+// balancers in the settings. As a control, where each is configured as the only one, the sum exceeds the
+// budget.
+TEST(SlowStartTest, TwentyFiveBalancersShareOneRamp) {
+  int exceeded_alone = 0;
   for (std::uint64_t seed = 1; seed <= 8; ++seed) {
     EXPECT_LE(MaxExcessOverBudget(25, seed), 0) << seed;
-    broken_alone += MaxExcessOverBudget(1, seed) > 0 ? 1 : 0;
+    exceeded_alone += MaxExcessOverBudget(1, seed) > 0 ? 1 : 0;
   }
-  EXPECT_EQ(broken_alone, 8);
+  EXPECT_EQ(exceeded_alone, 8);
 }
 
-// A release in a jam: what the warm ones took before it is the measure, not what gets through now.
+// A cold upstream starts during an overload. Its budget follows from what the warm ones served before, not
+// from the low throughput during the overload.
 TEST(SlowStartTest, LowThroughputInAnOverloadDoesNotShrinkTheBudget) {
   constexpr int kBalancers = 4, kWarm = 6, kPerSecond = 60;
   Settings s = BasicSettings();
@@ -778,18 +799,18 @@
         [&](UpstreamId u) { return u <= kWarm ? count : 0.0; });
   };
   run(20 * kSecond, kPerSecond, 1);
-  // A jam lets hardly anything through for a while, which is no measure of what the servers can take.
+  // Hardly any requests get through for a while, which says nothing about the upstreams' capacity.
   run(16 * kSecond, 2, 1);
   for (Driver& d : drivers) d.UpdateList({Entry(99, d.now)}, ListUpdate::kChanges);
   run(4 * kSecond, kPerSecond, 20);
-  const double full = static_cast<double>(kBalancers * kPerSecond) / kWarm;
+  const double warm_rate = static_cast<double>(kBalancers * kPerSecond) / kWarm;
   const double mean_share = s.start_capacity + (1 - s.start_capacity) * 0.2;
-  EXPECT_GT(SendTimes(drivers, 99).size(), 0.25 * full * mean_share * 4);
+  EXPECT_GT(SendTimes(drivers, 99).size(), 0.25 * warm_rate * mean_share * 4);
 }
 
-// A site comes back cold while the others do its work: a cold server takes several times as long, so it gets
-// no more than it surely does, and the others keep the rest.
-TEST(SlowStartTest, ColdUpstreamGetsOnlyItsStartShareWhileWarmOnesSuffice) {
+// A site returns cold while the others carry its load. A cold upstream takes several times as long per
+// request, so it gets no more than it can surely serve, and the warm ones keep the rest.
+TEST(SlowStartTest, ColdUpstreamGetsOnlyItsRampShareWhileWarmOnesSuffice) {
   constexpr int kBalancers = 4, kWarm = 9, kPerSecond = 60;
   Settings s = BasicSettings();
   s.balancers = kBalancers;
@@ -801,20 +822,22 @@
         &drivers, &next, time, kPerSecond, [](UpstreamId) { return Outcome::kOk; },
         [](UpstreamId) { return 1.0; });
   };
-  run(20 * kSecond);  // with three lost, the nine do it all
+  run(20 * kSecond);  // with three lost, the nine serve all requests
   for (Driver& d : drivers) {
     d.UpdateList({Entry(91, d.now), Entry(92, d.now), Entry(93, d.now)}, ListUpdate::kChanges);
   }
   run(4 * kSecond);
-  const double full = static_cast<double>(kBalancers * kPerSecond) / kWarm;
+  const double warm_rate = static_cast<double>(kBalancers * kPerSecond) / kWarm;
   const double mean_share = s.start_capacity + (1 - s.start_capacity) * 0.2;
   for (UpstreamId u = 91; u <= 93; ++u) {
-    EXPECT_GT(SendTimes(drivers, u).size(), 0.25 * full * mean_share * 4) << "it has to be found well again";
-    EXPECT_LT(SendTimes(drivers, u).size(), 1.2 * full * mean_share * 4);
+    EXPECT_GT(SendTimes(drivers, u).size(), 0.25 * warm_rate * mean_share * 4)
+        << "it needs enough requests to show that it is healthy";
+    EXPECT_LT(SendTimes(drivers, u).size(), 1.2 * warm_rate * mean_share * 4);
   }
 }
 
-// Most warm servers are replaced: the cold take their part of what those took, within the rule.
+// Most warm upstreams are replaced by cold ones. The cold ones take over their part of the load, within the
+// limit of slow start.
 TEST(SlowStartTest, ColdUpstreamsReplaceTheCapacityOfLostOnes) {
   constexpr int kBalancers = 4, kWarm = 12, kPerSecond = 60;
   Settings s = BasicSettings();
@@ -835,7 +858,7 @@
     d.UpdateList(list);
   }
   run(4 * kSecond);
-  const double full = static_cast<double>(kBalancers * kPerSecond) / kWarm;
+  const double warm_rate = static_cast<double>(kBalancers * kPerSecond) / kWarm;
   double sent = 0;
   for (UpstreamId u = 91; u <= 98; ++u) {
     const std::vector<Micros> sends = SendTimes(drivers, u);
@@ -845,11 +868,11 @@
       const double share = s.start_capacity + (1 - s.start_capacity) * age;
       const auto end = std::upper_bound(sends.begin(), sends.end(), sends[i] + s.fall_time);
       EXPECT_LE(static_cast<double>(end - sends.begin()) - static_cast<double>(i),
-                s.fall_multiple * full * share + 1);
+                s.fall_multiple * warm_rate * share + 1);
     }
   }
   const double mean_share = s.start_capacity + (1 - s.start_capacity) * 0.2;
-  EXPECT_GT(sent, 2.25 * full * mean_share * 4 * 0.85);
+  EXPECT_GT(sent, 2.25 * warm_rate * mean_share * 4 * 0.85);
 }
 
 TEST(SlowStartTest, BudgetHoldsForASoleUpstreamWithoutTrafficHistory) {
@@ -876,7 +899,7 @@
   EXPECT_LE(d.SendsTo(1), 22);
 }
 
-// --- Chips, draws and health ---
+// --- Selection and health ---
 
 TEST(PickTest, RejectedAttemptIsRetriedElsewhereWithinTheAttemptLimit) {
   Settings s = BasicSettings();
@@ -891,7 +914,7 @@
   EXPECT_EQ(d.final_answers[1], 1);
 }
 
-// Sends `n` requests, each answered after 50 ms with what `outcome` and `count` say of the upstream.
+// Sends `n` requests 10 ms apart. Each attempt ends after 50 ms with the outcome and count of its upstream.
 template <typename OutcomeOf, typename CountOf>
 void RunRequests(Driver* d, int n, OutcomeOf outcome_of, CountOf count_of) {
   static RequestId next = 1000;
@@ -905,9 +928,10 @@
 std::vector<UpstreamEntry> FiveUpstreams() { return {Entry(1), Entry(2), Entry(3), Entry(4), Entry(5)}; }
 Outcome AllOk(UpstreamId) { return Outcome::kOk; }
 
-// One call at a time, so chips come back before the next pick. Upstream 1 reports itself full and loses its
-// chips; it is drawn again only when long unheard. The others report nothing in hand and earn a chip with
-// every answer.
+// Chips are BLOC's tokens: an answer may earn one for its upstream, and a pick draws two upstreams among
+// those with a chip or without a recent report. Requests come one at a time, so a chip returns before the
+// next pick. Upstream 1 reports that it is full and loses its chips; it is drawn again only when it has not
+// reported for the reset interval. The others report nothing in flight and earn a chip with every answer.
 TEST(PickTest, ReportOfAFullUpstreamClearsItsChipsUntilTheResetInterval) {
   Driver d(BasicSettings());
   d.UpdateList(FiveUpstreams());
@@ -917,12 +941,12 @@
     d.EndAttemptOf(id, Outcome::kOk, d.in_flight[0].upstream == 1 ? 40 : 0);
   }
   EXPECT_LT(d.SendsTo(1), d.SendsTo(2) / 4);
-  EXPECT_GT(d.SendsTo(1), 5) << "long unheard, it is tried again";
+  EXPECT_GT(d.SendsTo(1), 5) << "tried again after the reset interval";
 }
 
-// Capacity is max(4, 1.6 x mean count), 4 here, and a chip comes with 1 - count / (0.8 x capacity): after 38%
-// of answers at a count of 2, 69% at a count of 1, and all at 0. Without one the server waits for the reset
-// interval, so its share falls with its count.
+// The capacity is max(4, 1.6 x mean count), which is 4 here, and an answer earns a chip with probability 1 -
+// count / (0.8 x capacity): 38% at a count of 2, 69% at a count of 1, 100% at 0. Without a chip the upstream
+// waits for the reset interval, so its share falls as its count rises.
 TEST(PickTest, ShorterQueuesEarnMoreChips) {
   const auto sends_at = [](double count) {
     Driver d(BasicSettings());
@@ -940,17 +964,17 @@
 }
 
 TEST(PickTest, OwnZoneIsPreferredUnlessOverloaded) {
-  const auto near_share = [](double near_count) {
+  const auto own_zone_share = [](double own_zone_count) {
     Driver d(BasicSettings());
     d.UpdateList({Entry(1, 0, 0), Entry(2, 0, 0), Entry(3, 0, 1), Entry(4, 0, 1)});
-    RunRequests(&d, 1000, AllOk, [&](UpstreamId u) { return u <= 2 ? near_count : 4.0; });
+    RunRequests(&d, 1000, AllOk, [&](UpstreamId u) { return u <= 2 ? own_zone_count : 4.0; });
     return (d.SendsTo(1) + d.SendsTo(2)) / 1000.0;
   };
-  EXPECT_GT(near_share(4.0), 0.55);
-  EXPECT_LT(near_share(12.0), near_share(4.0) - 0.1);
+  EXPECT_GT(own_zone_share(4.0), 0.55);
+  EXPECT_LT(own_zone_share(12.0), own_zone_share(4.0) - 0.1);
 }
 
-// --- Admission ---
+// --- Admission (load shedding) ---
 
 TEST(AdmissionTest, LowLoadIsNeverShed) {
   Driver d(BasicSettings());
@@ -959,8 +983,8 @@
   EXPECT_TRUE(d.refused.empty());
 }
 
-// Answer times that vary as widely as work does are no crowd: guards against a quiet answer time that is read
-// too low, from the first quick answers or the luckiest few, and then refuses the cheaper class at rest.
+// Answer times that vary as widely as the work are no overload. The baseline latency may be estimated too
+// low, from the first fast answers or the few fastest, and then the cheaper class is refused at low load.
 TEST(AdmissionTest, LowLoadOfVaryingWorkIsHardlyEverShed) {
   size_t refused = 0;
   for (std::uint64_t seed = 1; seed <= 10; ++seed) {
@@ -990,8 +1014,7 @@
   EXPECT_LT(refused, 60u) << "of 3000";
 }
 
-// A crowd that waits for a fresh instance: before the first answer no more than a few for each upstream are
-// taken.
+// A burst waits for a new balancer. Before the first answer it admits only a few requests per upstream.
 TEST(AdmissionTest, BurstAtStartIsAdmittedGradually) {
   Driver d(BasicSettings());
   d.UpdateList(FiveUpstreams());
@@ -999,17 +1022,17 @@
   for (RequestId id = 1; id <= 500; ++id) d.Arrive(id);
   EXPECT_LE(d.in_flight.size(), 5u * 7);
   EXPECT_GE(d.in_flight.size(), 5u * 5);
-  Settings inner = BasicSettings();
-  inner.tier = 1;
-  Driver lower(inner);
-  lower.UpdateList(FiveUpstreams());
-  lower.Advance(200'000);
-  for (RequestId id = 1; id <= 500; ++id) lower.Arrive(id);
-  EXPECT_EQ(lower.in_flight.size(), 500u) << "a call between tiers carries work already done";
+  Settings inner_settings = BasicSettings();
+  inner_settings.tier = 1;
+  Driver inner_tier(inner_settings);
+  inner_tier.UpdateList(FiveUpstreams());
+  inner_tier.Advance(200'000);
+  for (RequestId id = 1; id <= 500; ++id) inner_tier.Arrive(id);
+  EXPECT_EQ(inner_tier.in_flight.size(), 500u) << "a request from another tier carries work already done";
 }
 
-// A copy of many gets more than its even part of the first requests now and then, and none of its servers has
-// heard of the others' less: nothing may be refused for that.
+// One of many balancers sometimes gets more than its even share of the first requests, and no report shows
+// yet that the others got fewer. It must not refuse any for that.
 TEST(AdmissionTest, OneOfManyBalancersAdmitsARandomBurstAtStart) {
   Settings s = BasicSettings();
   s.balancers = 16;
@@ -1021,42 +1044,42 @@
   }
   EXPECT_EQ(d.refused.size(), 0u);
   for (RequestId id = 11; id <= 60; ++id) d.Arrive(id);
-  EXPECT_LE(d.in_flight.size(), 20u) << "a crowd is still none of its business";
+  EXPECT_LE(d.in_flight.size(), 20u) << "a larger burst is still limited";
 }
 
-// A crowd that comes by chance to one copy of many is made up for by the others; at two copies it is half
-// of a crowd at the servers, and in a jam it keeps the jam going. Guards against the day that tips once a
-// server hangs.
+// A random burst at one of many balancers is offset by lower load at the others. At one of two balancers it
+// is half of a burst at the upstreams, and in an overload, admitting it prolongs the overload. A single hung
+// upstream could then keep the system overloaded.
 TEST(AdmissionTest, UnderOverloadOneOfFewBalancersAdmitsNoRandomBurst) {
-  const auto let_in = [](int balancers) {
+  const auto admitted_with = [](int balancers) {
     Settings s = BasicSettings();
     s.balancers = balancers;
-    size_t most = 0;
+    size_t admitted = 0;
     for (std::uint64_t seed = 1; seed <= 5; ++seed) {
       Driver d(s, seed);
       d.UpdateList(ReadyUpstreams(4));
       RequestId next = 1;
-      // At rest 15 a second are answered in half a second; then the servers are choked, and each takes 0.8 s.
-      for (const auto& [count, took] : {std::pair(600, 500'000), std::pair(150, 800'000)}) {
+      // At low load, 15 a second are answered within half a second; then the upstreams slow down to 0.8 s.
+      for (const auto& [count, latency] : {std::pair(600, 500'000), std::pair(150, 800'000)}) {
         for (int i = 0; i < count; ++i) {
           d.Arrive(next++);
           d.Advance(66'000);
-          while (!d.in_flight.empty() && d.now - d.in_flight[0].sent >= took)
+          while (!d.in_flight.empty() && d.now - d.in_flight[0].sent >= latency)
             d.EndAttempt(0, Outcome::kOk, 3);
         }
       }
       for (int i = 0; i < 60; ++i) d.Arrive(next++);
-      most += d.in_flight.size();
+      admitted += d.in_flight.size();
     }
-    return most;
+    return admitted;
   };
-  const size_t few = let_in(2), many = let_in(200);
-  EXPECT_LT(10 * few, 9 * many) << few << " beside " << many;
-  EXPECT_GT(few, 5 * 8u) << "what the servers can do is let in all the same";
+  const size_t with_2 = admitted_with(2), with_200 = admitted_with(200);
+  EXPECT_LT(10 * with_2, 9 * with_200) << with_2 << " against " << with_200;
+  EXPECT_GT(with_2, 5 * 8u) << "load within the upstreams' capacity is still admitted";
 }
 
-// Servers that answer 50 requests a second in all, asked for 200: what is in hand stays answerable, and the
-// tenant over its share is refused first.
+// The upstreams answer 50 requests a second in all and get 200. The admitted ones must stay answerable in
+// time, and the tenant over its share is refused first.
 TEST(AdmissionTest, OverloadIsShedEarlyAndOverShareTenantsFirst) {
   Settings s = BasicSettings();
   s.tenants = {{10}, {1000}};
@@ -1064,13 +1087,13 @@
   Driver d(s);
   d.UpdateList(FiveUpstreams());
   RequestId next = 1;
-  std::map<int, int> asked, served;
+  std::map<int, int> arrived, served;
   std::map<RequestId, int> tenant_of;
-  size_t most_out = 0;
+  size_t max_in_flight = 0;
   for (int i = 0; i < 6000; ++i) {
     const int tenant = i % 2;
     tenant_of[next] = tenant;
-    if (i > 3000) ++asked[tenant];
+    if (i > 3000) ++arrived[tenant];
     d.Arrive(next++, 4 * kSecond, 0, tenant);
     d.Advance(5'000);
     if (i % 4 == 0 && !d.in_flight.empty()) {
@@ -1078,9 +1101,9 @@
       d.EndAttempt(0, Outcome::kOk, static_cast<double>(d.in_flight.size()) / 5);
       if (i > 3000) ++served[tenant_of[id]];
     }
-    if (i > 3000) most_out = std::max(most_out, d.in_flight.size());
+    if (i > 3000) max_in_flight = std::max(max_in_flight, d.in_flight.size());
   }
-  EXPECT_LT(most_out, 110u) << "two seconds' worth of answers";
+  EXPECT_LT(max_in_flight, 110u) << "two seconds' worth of answers";
   EXPECT_GT(served[1], 3 * served[0]);
   EXPECT_GT(served[0] + served[1], 600);
 }
@@ -1111,25 +1134,27 @@
   for (UpstreamId u = 1; u <= 5; ++u) EXPECT_GT(d.SendsTo(u), 120) << u;
 }
 
-// Answers spoilt here and there, at every server alike: all stay in use. One that spoils each is left.
+// Malformed answers now and then, at all upstreams alike, must eject none. An upstream that sends nothing but
+// malformed answers is ejected.
 TEST(HealthTest, MalformedAnswersEjectOnlyAnUpstreamThatSendsNothingElse) {
   Driver d(BasicSettings());
   d.UpdateList(FiveUpstreams());
   std::mt19937 random(7);
-  int spoilt = 0;
+  int malformed_from_1 = 0;
   RunRequests(
       &d, 1000,
       [&](UpstreamId u) {
-        const bool spoil = u == 1 ? d.now > 120 * kSecond : random() % 10 == 0;
-        spoilt += spoil && u == 1 ? 1 : 0;
-        return spoil ? Outcome::kSpoilt : Outcome::kOk;
+        const bool malformed = u == 1 ? d.now > 120 * kSecond : random() % 10 == 0;
+        malformed_from_1 += malformed && u == 1 ? 1 : 0;
+        return malformed ? Outcome::kSpoilt : Outcome::kOk;
       },
       [](UpstreamId) { return 6.0; });
   for (UpstreamId u = 2; u <= 5; ++u) EXPECT_GT(d.SendsTo(u), 120) << u;
-  EXPECT_LT(spoilt, 40);
+  EXPECT_LT(malformed_from_1, 40);
 }
 
-// A server says that the request itself is at fault: no other one is asked, no retry invited, nobody blamed.
+// The upstream reports that the request itself is invalid: it is not retried elsewhere, the client is not
+// invited to retry, and the upstream's health does not suffer.
 TEST(HealthTest, InvalidRequestFailsAtOnceWithoutBlamingItsUpstream) {
   Settings s = BasicSettings();
   s.max_retry_after = kSecond;
@@ -1171,9 +1196,9 @@
   EXPECT_TRUE(d.failed.empty());
 }
 
-// --- Few calls for many servers ---
+// --- Sparse traffic: few requests for many upstreams ---
 
-// Sends a request each `every`, answered after 100 ms; pending_checks are answered at once.
+// Sends a request per `every`, answered after 100 ms; checks are answered at once.
 template <typename CountOf>
 int RunSparseRequests(Driver* d, int n, Micros every, CountOf count_of) {
   static RequestId next = 1'000'000;
@@ -1192,24 +1217,24 @@
 Settings SparseTrafficSettings() {
   Settings s = BasicSettings();
   s.may_check = true;
-  s.check_price = 0.05;  // too dear to ask before each send
+  s.check_price = 0.05;  // too expensive to check before each send
   return s;
 }
 
 TEST(SparseTrafficTest, ChecksRunOnlyIfTrafficIsSparseAndChecksAllowedAndCheap) {
   Settings s = SparseTrafficSettings();
-  Driver dear(s);
+  Driver expensive(s);
   s.check_price = 0;
-  Driver thin(s), thick(s), forbidden(BasicSettings());
-  dear.UpdateList(ReadyUpstreams(80));
-  thin.UpdateList(ReadyUpstreams(80));
-  thick.UpdateList(ReadyUpstreams(5));
+  Driver sparse(s), dense(s), forbidden(BasicSettings());
+  expensive.UpdateList(ReadyUpstreams(80));
+  sparse.UpdateList(ReadyUpstreams(80));
+  dense.UpdateList(ReadyUpstreams(5));
   forbidden.UpdateList(ReadyUpstreams(80));
-  const auto crowded = [](UpstreamId) { return 6.0; };
-  EXPECT_GT(RunSparseRequests(&thin, 200, 300'000, crowded), 60);
-  EXPECT_EQ(RunSparseRequests(&dear, 200, 300'000, crowded), 0);
-  EXPECT_EQ(RunSparseRequests(&thick, 200, 100'000, crowded), 0);
-  EXPECT_EQ(RunSparseRequests(&forbidden, 200, 300'000, crowded), 0);
+  const auto loaded = [](UpstreamId) { return 6.0; };
+  EXPECT_GT(RunSparseRequests(&sparse, 200, 300'000, loaded), 60);
+  EXPECT_EQ(RunSparseRequests(&expensive, 200, 300'000, loaded), 0);
+  EXPECT_EQ(RunSparseRequests(&dense, 200, 100'000, loaded), 0);
+  EXPECT_EQ(RunSparseRequests(&forbidden, 200, 300'000, loaded), 0);
 }
 
 TEST(SparseTrafficTest, OverloadedQuarterOfUpstreamsGetsFewRequests) {
@@ -1217,27 +1242,27 @@
   Driver d(s);
   d.UpdateList(ReadyUpstreams(80));
   RunSparseRequests(&d, 400, 300'000, [](UpstreamId u) { return u <= 20 ? 30.0 : 6.0; });
-  int crowded = 0;
-  for (size_t i = 100; i < d.sent_to.size(); ++i) crowded += d.sent_to[i] <= 20;
-  EXPECT_LT(crowded, 300 / 12) << "a third of their part at the most";
+  int sends_to_overloaded = 0;
+  for (size_t i = 100; i < d.sent_to.size(); ++i) sends_to_overloaded += d.sent_to[i] <= 20;
+  EXPECT_LT(sends_to_overloaded, 300 / 12) << "at most a third of an even share";
 }
 
-// The ordinary path at any size: most picks follow a report that is at most as old as a chip lives; where
-// calls are thin and pending_checks dear, two in five still do.
+// With any number of upstreams, most picks follow a report that is no older than the lifetime of a chip. With
+// sparse traffic and expensive checks, at least two in five do.
 TEST(SparseTrafficTest, MostPicksFollowAFreshReport) {
   for (const double price : {0.0, 0.05}) {
-    for (const UpstreamId servers : {UpstreamId{5}, UpstreamId{40}, UpstreamId{140}}) {
+    for (const UpstreamId upstreams : {UpstreamId{5}, UpstreamId{40}, UpstreamId{140}}) {
       Settings s = SparseTrafficSettings();
       s.check_price = price;
       Driver d(s);
-      d.UpdateList(ReadyUpstreams(servers));
+      d.UpdateList(ReadyUpstreams(upstreams));
       std::map<UpstreamId, Micros> reported;
       int fresh = 0;
       for (RequestId id = 1; id <= 600; ++id) {
         d.Arrive(id);
         for (int round = 0; round < 3; ++round) {
-          for (const UpstreamId asked : d.AnswerChecks([](UpstreamId) { return 6.0; }))
-            reported[asked] = d.now;
+          for (const UpstreamId checked : d.AnswerChecks([](UpstreamId) { return 6.0; }))
+            reported[checked] = d.now;
         }
         const UpstreamId u = d.sent_to.back();
         if (id > 100) fresh += reported.count(u) > 0 && d.now - reported[u] <= 2 * kSecond;
@@ -1246,35 +1271,37 @@
         reported[u] = d.now;
         d.Advance(200'000);
       }
-      EXPECT_GT(fresh, servers > 5 && price > 0 ? 200 : 300) << servers << " at " << price;
+      EXPECT_GT(fresh, upstreams > 5 && price > 0 ? 200 : 300)
+          << upstreams << " upstreams, check price " << price;
     }
   }
 }
 
-// The own zone is crowded, the others idle: a thin caller hears of them by its trials and sends part of its
-// calls there, though it began with near servers only.
+// The balancer's own zone is overloaded and the others are idle. With sparse traffic it learns of them by
+// probing and sends part of its requests there, although it starts with upstreams of its own zone only.
 TEST(SparseTrafficTest, OtherZonesAreProbedWhileTheOwnZoneIsOverloaded) {
   Driver d(SparseTrafficSettings());
   std::vector<UpstreamEntry> entries = ReadyUpstreams(40);
   for (UpstreamEntry& e : entries) e.zone = e.id <= 10 ? 0 : 1;
   d.UpdateList(entries);
   RunSparseRequests(&d, 800, 300'000, [](UpstreamId u) { return u <= 10 ? 12.0 : 2.0; });
-  int far = 0;
-  for (size_t i = 400; i < d.sent_to.size(); ++i) far += d.sent_to[i] > 10;
-  EXPECT_GT(far, 80);
+  int sends_to_other_zones = 0;
+  for (size_t i = 400; i < d.sent_to.size(); ++i) sends_to_other_zones += d.sent_to[i] > 10;
+  EXPECT_GT(sends_to_other_zones, 80);
 }
 
-// A thin caller keeps to servers that served it lately: few handshakes, and few sick servers found out anew.
+// With sparse traffic requests stay with recently used upstreams, which saves handshakes and avoids finding
+// each failing upstream again.
 TEST(SparseTrafficTest, RequestsStayWithRecentlyUsedUpstreams) {
   Settings s = SparseTrafficSettings();
   s.connection_idle = 10 * kSecond;
   Driver d(s);
   d.UpdateList(ReadyUpstreams(80));
-  std::map<UpstreamId, Micros> used;
+  std::map<UpstreamId, Micros> last_use;
   int opened = 0;
   for (RequestId id = 1; id <= 500; ++id) {
     d.Arrive(id);
-    Micros& last = used[d.sent_to.back()];
+    Micros& last = last_use[d.sent_to.back()];
     if (id > 100) opened += last == 0 || d.now - last > s.connection_idle;
     last = d.now;
     d.AnswerChecks([](UpstreamId) { return 3.0; });
@@ -1285,29 +1312,30 @@
   EXPECT_LT(opened, 160) << "spread evenly, nearly all of the 400 calls would open one";
 }
 
-// One class unanswered at some servers that serve the other well: only that class keeps off them.
-TEST(HealthTest, ClassFailingAtAnUpstreamAvoidsItAlone) {
+// One class fails at an upstream that serves the other class well. Only the failing class avoids that
+// upstream.
+TEST(HealthTest, OnlyTheFailingClassAvoidsAnUpstream) {
   Settings s = BasicSettings();
   s.classes.push_back(s.classes[0]);
   Driver d(s);
   d.UpdateList(ReadyUpstreams(5));
-  int of_class[2] = {0, 0};
+  int sends_of_class[2] = {0, 0};
   for (RequestId id = 1; id <= 2000; ++id) {
     const int request_class = static_cast<int>(id % 2);
     d.Arrive(id, 6 * kSecond, request_class);
     d.Advance(10'000);
     while (d.final_answers[id] == 0) {
       const UpstreamId u = d.sent_to.back();
-      if (id > 200 && u == 1) ++of_class[request_class];
+      if (id > 200 && u == 1) ++sends_of_class[request_class];
       d.EndAttemptOf(id, u == 1 && request_class == 0 ? Outcome::kError : Outcome::kOk, 1);
     }
   }
-  EXPECT_GT(of_class[1], 100);
-  EXPECT_LT(of_class[0], of_class[1] / 5);
+  EXPECT_GT(sends_of_class[1], 100);
+  EXPECT_LT(sends_of_class[0], sends_of_class[1] / 5);
 }
 
-// Most calls to one zone go wrong, whichever server of it they reach: soon few are sent there, and when the
-// way is good again they come back.
+// Most requests to one zone fail, whichever of its upstreams they reach. Soon few are sent there, and they
+// return once the zone is healthy again.
 TEST(HealthTest, FailingZoneIsAvoidedBeforeEachOfItsUpstreamsIsEjected) {
   Settings s = BasicSettings();
   s.zone = 1;
@@ -1315,25 +1343,25 @@
   std::vector<UpstreamEntry> entries = ReadyUpstreams(90);
   for (UpstreamEntry& e : entries) e.zone = static_cast<int>(e.id % 3);
   d.UpdateList(entries);
-  int to_bad[3] = {};
+  int sends_to_failing[3] = {};
   for (RequestId id = 1; id <= 1800; ++id) {
     const size_t phase = (id - 1) / 600;
     d.Arrive(id);
     while (d.final_answers[id] == 0) {
-      const bool bad = d.sent_to.back() % 3 == 0;
-      to_bad[phase] += bad;
+      const bool in_failing_zone = d.sent_to.back() % 3 == 0;
+      sends_to_failing[phase] += in_failing_zone;
       d.Advance(10'000);
-      d.EndAttemptOf(id, bad && phase == 1 ? Outcome::kTimeout : Outcome::kOk, 1);
+      d.EndAttemptOf(id, in_failing_zone && phase == 1 ? Outcome::kTimeout : Outcome::kOk, 1);
     }
     if (id == 1200) d.Advance(40 * kSecond);
   }
-  EXPECT_GT(to_bad[0], 40);
-  EXPECT_LT(to_bad[1], 20) << "of 30 servers";
-  EXPECT_GT(to_bad[2], 40);
+  EXPECT_GT(sends_to_failing[0], 40);
+  EXPECT_LT(sends_to_failing[1], 20) << "for 30 upstreams";
+  EXPECT_GT(sends_to_failing[2], 40);
 }
 
-// Odd zone numbers are taken, and a zone without servers is no measure: where all fail alike, all stay in
-// use.
+// Zone numbers need not be small or positive. All upstreams fail alike, and a zone number without upstreams
+// must not serve as the healthy reference: all stay in use.
 TEST(HealthTest, NegativeAndHugeZoneNumbersAreAccepted) {
   Driver d(BasicSettings());
   std::vector<UpstreamEntry> entries = ReadyUpstreams(8);
@@ -1349,7 +1377,7 @@
   for (UpstreamId u = 1; u <= 8; ++u) EXPECT_GT(d.SendsTo(u), 20) << u;
 }
 
-// The refused are asked back at once after the verdict, and in time for another try within the aim.
+// The advised retry delay is short, so that another try still fits within the aim.
 TEST(AdmissionTest, GivenUpRequestIsAnsweredAtOnceWithRetryAfter) {
   for (const Repeat repeat : {Repeat::kSafe, Repeat::kKeyed, Repeat::kUnsafe}) {
     Settings s = BasicSettings();
@@ -1372,7 +1400,7 @@
   }
 }
 
-// --- Requests at fault, not servers ---
+// --- Failing requests on healthy upstreams ---
 
 Settings TwoTenantSettings() {
   Settings s = BasicSettings();
@@ -1380,30 +1408,30 @@
   return s;
 }
 
-// One tenant's requests get quick errors wherever they go: the servers stay in use for the other.
+// One tenant's requests fail fast at every upstream. All upstreams must stay in use for the other tenant.
 TEST(RequestGroupTest, TenantFailingEverywhereEjectsNoUpstream) {
-  for (const UpstreamId servers : {UpstreamId{6}, UpstreamId{60}}) {
+  for (const UpstreamId upstreams : {UpstreamId{6}, UpstreamId{60}}) {
     Settings s = TwoTenantSettings();
     s.classes[0].repeat = Repeat::kUnsafe;
     Driver d(s);
-    d.UpdateList(ReadyUpstreams(servers));
-    std::map<UpstreamId, int> used;
+    d.UpdateList(ReadyUpstreams(upstreams));
+    std::map<UpstreamId, int> sends;
     for (RequestId id = 1; id <= 3000; ++id) {
       const int tenant = static_cast<int>(id % 2);
       d.Arrive(id, 6 * kSecond, 0, tenant);
       if (d.SendsOf(id) == 0) continue;
-      if (tenant == 0 && id > 300) ++used[d.sent_to.back()];
+      if (tenant == 0 && id > 300) ++sends[d.sent_to.back()];
       d.Advance(5'000);
       d.EndAttemptOf(id, tenant == 1 ? Outcome::kError : Outcome::kOk, 1);
     }
-    ASSERT_EQ(used.size(), servers);
-    const double mean = 1350.0 / servers;
-    for (const auto& [u, n] : used) EXPECT_GT(n, mean / 3) << u << " of " << servers;
+    ASSERT_EQ(sends.size(), upstreams);
+    const double mean = 1350.0 / upstreams;
+    for (const auto& [u, n] : sends) EXPECT_GT(n, mean / 3) << u << " of " << upstreams;
   }
 }
 
-// One tenant's requests drag at every server until the aim has passed: soon only trials of it are let in, the
-// other is served on, and once it is quick again it is let in again.
+// One tenant's requests take longer than the aim at every upstream. Soon only probes of it are admitted while
+// the other tenant is served as before; once its requests are fast again, it is admitted again.
 TEST(RequestGroupTest, TenantSlowEverywhereIsBlockedAndReadmitted) {
   Settings s = TwoTenantSettings();
   Driver d(s);
@@ -1416,13 +1444,13 @@
     sent[phase][tenant] += d.SendsOf(id);
     d.Advance(10'000);
     for (size_t k = d.in_flight.size(); k-- > 0;) {
-      const bool drags = phase == 1 && d.in_flight[k].request % 2 == 1;
-      const Micros out_for = d.now - d.in_flight[k].sent;
+      const bool slow = phase == 1 && d.in_flight[k].request % 2 == 1;
+      const Micros elapsed = d.now - d.in_flight[k].sent;
       if (d.in_flight[k].timeout_at > 0 && d.now >= d.in_flight[k].timeout_at) {
         d.EndAttempt(k, Outcome::kTimeout);
       } else if (d.in_flight[k].cancelled) {
         d.EndAttempt(k, Outcome::kCancelled);
-      } else if (!drags && out_for >= 50'000) {
+      } else if (!slow && elapsed >= 50'000) {
         d.EndAttempt(k, Outcome::kOk);
       }
       k = std::min(k, d.in_flight.size());
@@ -1430,11 +1458,11 @@
   }
   EXPECT_GT(sent[1][0], 700);
   EXPECT_LT(sent[1][1], 400);
-  EXPECT_GT(sent[2][1], 400) << "it comes back";
+  EXPECT_GT(sent[2][1], 400) << "it is admitted again";
 }
 
-// What cannot be answered in the time left is refused at once: it would only take its server's time.
-TEST(AdmissionTest, RequestWithTooLittleTimeLeftIsRejectedAtOnce) {
+// A request that cannot be answered in its remaining time would only use up capacity.
+TEST(AdmissionTest, RequestWithTooLittleTimeLeftIsRefusedAtOnce) {
   Driver d(BasicSettings());
   d.UpdateList(ReadyUpstreams(5));
   for (RequestId id = 1; id <= 30; ++id) {
@@ -1449,10 +1477,10 @@
   EXPECT_EQ(d.SendsOf(101), 1);
 }
 
-// An instance with one or two in hand cannot tell a crowd from chance by their number; the time that requests
-// take tells it.
+// A balancer with one or two requests in flight cannot tell an overload from chance by their number, but it
+// can by their latency.
 TEST(AdmissionTest, WithFewInFlightLatencyDecidesAdmission) {
-  const auto refused_at = [](Micros took) {
+  const auto refused_at = [](Micros latency) {
     Settings s = BasicSettings();
     s.balancers = 300;
     Driver d(s);
@@ -1462,7 +1490,7 @@
       if (id == 200) before = d.refused.size();
       d.Arrive(id);
       d.Advance(300'000);
-      while (!d.in_flight.empty() && d.now - d.in_flight[0].sent >= (id > 100 ? took : 300'000)) {
+      while (!d.in_flight.empty() && d.now - d.in_flight[0].sent >= (id > 100 ? latency : 300'000)) {
         d.EndAttempt(0, Outcome::kOk, 3);
       }
     }
@@ -1472,19 +1500,19 @@
   EXPECT_GT(refused_at(1'800'000), 40u);
 }
 
-// Guards against seconds of a client's slow sending that pass for a server's silence, and against sending
-// again what is not kept.
-TEST(LongBodyTest, BodyIsNotTimedWhileStreamingAndNotResent) {
+// A client that sends its body slowly must not make the upstream look stalled, and a body that is not kept
+// must not be sent again.
+TEST(StreamingBodyTest, BodyIsNotTimedWhileStreamingAndNotResent) {
   Driver d(BasicSettings());
   d.UpdateList(ReadyUpstreams(4));
-  for (RequestId id = 1; id <= 20; ++id) {  // answers take 20 ms: a call that is silent for 200 is stalled
+  for (RequestId id = 1; id <= 20; ++id) {  // answers take 20 ms, so one that takes 200 ms counts as stalled
     d.Arrive(id);
     d.Advance(20'000);
     d.EndAttemptOf(id, Outcome::kOk);
   }
   d.Arrive(100);
   ASSERT_EQ(d.in_flight.size(), 1u);
-  const UpstreamId server = d.in_flight[0].upstream;
+  const UpstreamId upstream = d.in_flight[0].upstream;
   d.ReportBody(100, std::nullopt);
   d.Advance(5 * kSecond);
   ASSERT_EQ(d.in_flight.size(), 1u);
@@ -1492,18 +1520,18 @@
   EXPECT_EQ(d.balancer().Avoided(d.now), 0);
   EXPECT_EQ(d.final_answers[100], 0);
   d.deadlines[100] = d.now + 6 * kSecond;
-  d.ReportBody(100, 6 * kSecond);  // its time begins
+  d.ReportBody(100, 6 * kSecond);  // the whole body is sent, and the request's time starts
   d.Advance(20'000);
   d.EndAttemptOf(100, Outcome::kReset);
-  EXPECT_TRUE(d.in_flight.empty());  // it can't go elsewhere
+  EXPECT_TRUE(d.in_flight.empty());  // it cannot be sent to another upstream
   EXPECT_EQ(d.final_answers[100], 1);
-  d.Arrive(101);  // and its five seconds are nobody's delay
+  d.Arrive(101);  // the five seconds do not count as latency
   EXPECT_EQ(d.final_answers[101], 0);
-  EXPECT_NE(server, 0u);
+  EXPECT_NE(upstream, 0u);
 }
 
-// Guards against a long answer that is called off, or whose length passes for the time that an answer takes.
-TEST(LongBodyTest, StreamingResponseIsNoStallAndIsTimedToItsStart) {
+// A long response must not be cancelled as stalled, and its length must not count as the upstream's latency.
+TEST(StreamingBodyTest, StreamingResponseIsNoStallAndIsTimedToItsStart) {
   Driver d(BasicSettings());
   d.UpdateList(ReadyUpstreams(4));
   for (RequestId id = 1; id <= 100; ++id) {
@@ -1520,10 +1548,10 @@
   }
   d.Advance(3 * kSecond);
   EXPECT_EQ(d.in_flight.size(), 10u);
-  for (const Driver::Attempt& out : d.in_flight) EXPECT_FALSE(out.cancelled);
+  for (const Driver::Attempt& attempt : d.in_flight) EXPECT_FALSE(attempt.cancelled);
   EXPECT_EQ(d.balancer().Avoided(d.now), 0);
   while (!d.in_flight.empty()) d.EndAttempt(0, Outcome::kOk);
-  for (RequestId id = 300; id < 320; ++id) {  // nothing is refused for the seconds that they took
+  for (RequestId id = 300; id < 320; ++id) {  // the seconds that the responses took must not cause refusals
     d.Arrive(id);
     EXPECT_EQ(d.final_answers[id], 0);
     d.Advance(20'000);
@@ -1532,10 +1560,10 @@
 }
 
 TEST(DeterminismTest, SameEventsGiveSameActionsForAnyIds) {
-  const auto trace = [](UpstreamId base) {
+  const auto trace = [](UpstreamId first_id) {
     Driver d(BasicSettings(), 77);
     std::vector<UpstreamEntry> entries;
-    for (UpstreamId u = 0; u < 5; ++u) entries.push_back(Entry(base + u * 7919 % 31));
+    for (UpstreamId u = 0; u < 5; ++u) entries.push_back(Entry(first_id + u * 7919 % 31));
     d.UpdateList(entries);
     std::string order;
     for (RequestId id = 1; id <= 300; ++id) {
