--- a/src/drill/host.cpp
+++ b/src/drill/host.cpp
@@ -1,3 +1,4 @@
+// Reads the bench protocol line by line and dispatches each event to its balancer instance.
 #include "drill/host.h"
 
 #include <string>
@@ -130,7 +131,7 @@
     balancer.OnCheck(now_, names_.Intern(fields.Text("upstream")), ParseOutcome(fields),
                      ParseReport(fields, instance->columns), &actions_);
   } else if (tag == "DATAGRAM") {
-    // Balancers tell each other nothing; the message is read only to be sure that it can be.
+    // Balancers exchange no messages; the fields are parsed only to report malformed ones.
     fields.Integer("sender");
     ParseBytes(fields, "content");
   }
--- a/src/drill/main.cpp
+++ b/src/drill/main.cpp
@@ -1,3 +1,4 @@
+// umberdyke_drill: runs balancer instances for the bench simulator over stdin and stdout.
 #include <iostream>
 
 #include "drill/host.h"
--- a/src/drill/wire.cpp
+++ b/src/drill/wire.cpp
@@ -1,3 +1,4 @@
+// Parses event lines and formats action lines of the bench protocol.
 #include "drill/wire.h"
 
 #include <charconv>
@@ -20,6 +21,7 @@
   out->append(buffer, result.ptr);
 }
 
+// Writes the line for each kind of action.
 struct ActionWriter {
   std::int64_t instance;
   const UpstreamNames& names;
@@ -195,7 +197,7 @@
   UpstreamEntry entry;
   entry.id = names->Intern(fields.Text("upstream"));
   const std::string_view mode = fields.Text("mode");
-  // What is neither running nor gone may finish its work but gets nothing new.
+  // An upstream in any other mode may finish its requests but gets no new ones.
   entry.state = mode == "Running"   ? UpstreamState::kReady
                 : mode == "Deleted" ? UpstreamState::kGone
                                     : UpstreamState::kDraining;
--- a/tests/drill/wire_test.cpp
+++ b/tests/drill/wire_test.cpp
@@ -1,3 +1,4 @@
+// Tests of the bench protocol: parsing of events, formatting of actions and errors for malformed input.
 #include "drill/wire.h"
 
 #include <gtest/gtest.h>
@@ -23,6 +24,7 @@
   std::string errors;
 };
 
+// Runs a host on the whole input.
 Result RunHost(const std::string& input) {
   std::istringstream in(input);
   std::ostringstream out, errors;
@@ -31,6 +33,7 @@
   return {status, out.str(), errors.str()};
 }
 
+// A first batch of six lines: instance 3 with one upstream, upstream_a.
 std::string StartInput() {
   return std::string("FRAME time_us=1000\n") + kConfigure +
          "MANIFEST slot=0 elements=1\n"
