--- a/src/edge/edge_connection.cpp
+++ b/src/edge/edge_connection.cpp
@@ -22,7 +22,7 @@
 
 }  // namespace
 
-EdgeConnection::EdgeConnection(Loop& loop, EdgeOwner& owner, PassingRoom& passing)
+EdgeConnection::EdgeConnection(Loop& loop, EdgeOwner& owner, StreamingBufferLimit& passing)
     : loop_(loop), owner_(owner), passing_(passing), stream_(loop, this), patience_(loop, [this] {
         Late();
       }) {
@@ -32,8 +32,8 @@
 EdgeConnection::~EdgeConnection() { EndPassing(); }
 
 void EdgeConnection::EndPassing() {
-  if (std::exchange(taking_, false)) passing_.End();
-  if (std::exchange(answering_, false)) passing_.End();
+  if (std::exchange(taking_, false)) passing_.EndTransfer();
+  if (std::exchange(answering_, false)) passing_.EndTransfer();
 }
 
 bool EdgeConnection::Accept(Listener& listener) {
@@ -43,7 +43,7 @@
   return true;
 }
 
-bool EdgeConnection::silent() const {
+bool EdgeConnection::first_request_overdue() const {
   return !answered_ && state_ == State::kReading && Clock::now() - rested_ > kFirstRequest;
 }
 
@@ -102,7 +102,7 @@
     owner_.OnRequest(*this, parser_.Take());
   } else {
     closing_ = true;
-    owner_.OnBadInput(*this, parsed);
+    owner_.OnInvalidRequest(*this, parsed);
   }
 }
 
@@ -116,7 +116,7 @@
     if (slowest_ < Clock::now()) slowest_ = Clock::now() + kBodyBegins;
     state_ = State::kTaking;
     taking_ = true;
-    passing_.Begin();
+    passing_.BeginTransfer();
     stream_.KeepQueueShort();
   }
   body_ += parser_.TakePiece();
@@ -130,9 +130,9 @@
   } else {
     Credit(body_.size() - before);
   }
-  if (!first) return owner_.OnBody(*this);
+  if (!first) return owner_.OnBodyData(*this);
   const bool wants_continue = head.Find("Expect") != nullptr;
-  owner_.OnLongRequest(*this, std::move(head));
+  owner_.OnStreamingRequest(*this, std::move(head));
   if (wants_continue && state_ == State::kTaking && stream_.open()) Continue();
 }
 
@@ -166,38 +166,38 @@
     patience_.Start(kLongestWrite);
   } else if (wrote == Stream::Wrote::kBroken) {
     loop_.Post(alive_, [this] {
-      if (stream_.open()) owner_.OnGone(*this);
+      if (stream_.open()) owner_.OnClosed(*this);
     });
   }
   return wrote == Stream::Wrote::kAll;
 }
 
-void EdgeConnection::Answer(std::string bytes, bool keep_alive) {
+void EdgeConnection::SendResponse(std::string bytes, bool keep_alive) {
   if (!stream_.open()) return;
   closing_ = closing_ || !keep_alive || state_ == State::kTaking;
   state_ = State::kWriting;
   if (Write(std::move(bytes))) Finish();
 }
 
-bool EdgeConnection::BeginAnswer(std::string head, const Framing& framing, bool keep_alive) {
+bool EdgeConnection::BeginResponse(std::string head, const Framing& framing, bool keep_alive) {
   if (!stream_.open()) return false;
   closing_ = closing_ || !keep_alive;
   state_ = State::kWriting;
   patience_.Stop();
   framing_ = framing;
   answering_ = true;
-  passing_.Begin();
+  passing_.BeginTransfer();
   stream_.KeepQueueShort();
   return Write(std::move(head));
 }
 
-bool EdgeConnection::AnswerPiece(std::string piece) {
+bool EdgeConnection::SendResponseData(std::string piece) {
   if (!stream_.open()) return false;
   Write(WritePiece(std::move(piece), framing_));
   return stream_.unwritten() < passing_.window();
 }
 
-void EdgeConnection::EndAnswer() {
+void EdgeConnection::EndResponse() {
   if (!stream_.open()) return;
   ending_ = true;
   const std::string last = WriteLastPiece(framing_);
@@ -205,14 +205,14 @@
   if (stream_.unwritten() == 0) Finish();
 }
 
-void EdgeConnection::BreakAnswer() {
+void EdgeConnection::AbortResponse() {
   const bool tells_end = framing_.chunked || framing_.length;
   if (!tells_end) stream_.Reset();
-  owner_.OnGone(*this);
+  owner_.OnClosed(*this);
 }
 
 void EdgeConnection::OnWritten(bool ok) {
-  if (!ok) return owner_.OnGone(*this);
+  if (!ok) return owner_.OnClosed(*this);
   if (state_ != State::kWriting) return;
   if (stream_.unwritten() > 0) {
     patience_.Start(kLongestWrite);
@@ -221,7 +221,7 @@
   } else {
     patience_.Stop();
   }
-  if (answering_ && !ending_ && stream_.unwritten() < passing_.window()) owner_.OnRoom(*this);
+  if (answering_ && !ending_ && stream_.unwritten() < passing_.window()) owner_.OnWritable(*this);
 }
 
 // A connection that is closed with input unread would take its last answer along: it lingers instead.
@@ -241,7 +241,7 @@
   } else if (rests_no_more_ && stream_.Quiet()) {
     Linger(kLinger);
   } else {
-    owner_.OnRested();
+    owner_.OnIdle();
   }
 }
 
@@ -261,20 +261,20 @@
 }
 
 void EdgeConnection::Late() {
-  if (state_ == State::kLingering) return owner_.OnGone(*this);
+  if (state_ == State::kLingering) return owner_.OnClosed(*this);
   if (state_ == State::kWriting) {
     const size_t before = std::exchange(unwritten_, stream_.unwritten());
-    if (unwritten_ >= before) return owner_.OnGone(*this);
+    if (unwritten_ >= before) return owner_.OnClosed(*this);
     return patience_.Start(kLongestWrite);  // slowly, but it reads
   }
-  if (NotRead()) return Left() ? owner_.OnGone(*this) : patience_.Start(kLookAgain);
+  if (NotRead()) return ClientGone() ? owner_.OnClosed(*this) : patience_.Start(kLookAgain);
   if (state_ != State::kReading && state_ != State::kTaking) return;
   // The loop's timers run before it reads: what waits there is looked at first, once.
   if (!stream_.Quiet() && !std::exchange(waited_, true)) return patience_.Start(0ms);
-  if (idle()) return owner_.OnGone(*this);  // it never asked for anything
+  if (idle()) return owner_.OnClosed(*this);  // it never asked for anything
   if (state_ == State::kReading) state_ = State::kBusy;
   closing_ = true;
-  owner_.OnSlowInput(*this);
+  owner_.OnRequestTimeout(*this);
 }
 
 }  // namespace umberdyke::net
--- a/src/edge/edge_connection.h
+++ b/src/edge/edge_connection.h
@@ -19,17 +19,17 @@
  public:
   virtual void OnRequest(EdgeConnection& edge, Message message) = 0;
   // The head of a request whose body is long; it follows by TakeBody.
-  virtual void OnLongRequest(EdgeConnection& edge, Message head) = 0;
-  virtual void OnBody(EdgeConnection& edge) = 0;  // more of it has come, or its end
+  virtual void OnStreamingRequest(EdgeConnection& edge, Message head) = 0;
+  virtual void OnBodyData(EdgeConnection& edge) = 0;  // more of it has come, or its end
   // More of the answer that is being passed on may be written.
-  virtual void OnRoom(EdgeConnection& edge) = 0;
+  virtual void OnWritable(EdgeConnection& edge) = 0;
   // The input is no request; one answer is due, after which the connection closes.
-  virtual void OnBadInput(EdgeConnection& edge, Parsed why) = 0;
-  virtual void OnSlowInput(EdgeConnection& edge) = 0;
+  virtual void OnInvalidRequest(EdgeConnection& edge, Parsed why) = 0;
+  virtual void OnRequestTimeout(EdgeConnection& edge) = 0;
   // It has answered and waits for the next request; it may be closed from here.
-  virtual void OnRested() = 0;
+  virtual void OnIdle() = 0;
   // It is closed, by either side; the owner lets go of it.
-  virtual void OnGone(EdgeConnection& edge) = 0;
+  virtual void OnClosed(EdgeConnection& edge) = 0;
 
  protected:
   ~EdgeOwner() = default;
@@ -37,29 +37,29 @@
 
 class EdgeConnection : public StreamUser {
  public:
-  EdgeConnection(Loop& loop, EdgeOwner& owner, PassingRoom& passing);
+  EdgeConnection(Loop& loop, EdgeOwner& owner, StreamingBufferLimit& passing);
   ~EdgeConnection();
 
   bool Accept(Listener& listener);
   // The one answer to the request that is out; while its body is still coming, the connection ends with it.
-  void Answer(std::string bytes, bool keep_alive);
-  // The same in pieces: false where the client lags, then OnRoom follows.
-  bool BeginAnswer(std::string head, const Framing& framing, bool keep_alive);
-  bool AnswerPiece(std::string piece);
-  void EndAnswer();
+  void SendResponse(std::string bytes, bool keep_alive);
+  // The same in pieces: false where the client lags, then OnWritable follows.
+  bool BeginResponse(std::string head, const Framing& framing, bool keep_alive);
+  bool SendResponseData(std::string piece);
+  void EndResponse();
   // The answer cannot be finished: the client sees that it is not whole.
-  void BreakAnswer();
+  void AbortResponse();
   // What has come of a long body and was not taken yet.
   std::string TakeBody();
   bool body_received() const { return body_whole_; }
-  bool body_whole() const { return body_whole_ && body_.empty(); }  // and taken
+  bool body_consumed() const { return body_whole_ && body_.empty(); }  // and taken
 
   // Closes between requests: now, or once all that has come is answered.
   void CloseWhenIdle();
   // More has come than the request that is out.
-  bool HasMore() const { return stream_.open() && (!input_.empty() || !stream_.Quiet()); }
+  bool HasPipelinedInput() const { return stream_.open() && (!input_.empty() || !stream_.Quiet()); }
   // THE word on whether its client has gone, also where that stands behind bytes that nobody has read.
-  bool Left() const { return !stream_.open() || stream_.HungUp(); }
+  bool ClientGone() const { return !stream_.open() || stream_.HungUp(); }
   // Its time ends with it: what is buried lives on until the loop has run the timers that are due.
   void Close() {
     patience_.Stop();
@@ -67,20 +67,20 @@
   }
   bool idle() const { return state_ == State::kReading && !parser_.begun() && input_.empty(); }
   // Idle after an answer, so that it may be closed at no cost but a connect.
-  bool spare() const { return answered_ && idle(); }
-  bool Quiet() const { return stream_.Quiet(); }  // and nothing of a next request waits unread
+  bool idle_after_response() const { return answered_ && idle(); }
+  bool NoUnreadInput() const { return stream_.Quiet(); }  // and nothing of a next request waits unread
   // Has brought no whole request though it had the time for it: the first to be closed under pressure.
-  bool silent() const;
-  bool lingers() const { return state_ == State::kLingering; }  // has ended, and waits for the other side
-  bool began() const { return answered_ || parser_.begun(); }
-  Time rested() const { return rested_; }  // since when nothing has come from it
-  std::uint64_t flow = 0;                  // the owner's note of the request that is out
+  bool first_request_overdue() const;
+  bool lingering() const { return state_ == State::kLingering; }  // has ended, and waits for the other side
+  bool has_started_request() const { return answered_ || parser_.begun(); }
+  Time last_activity() const { return rested_; }  // since when nothing has come from it
+  std::uint64_t flow = 0;                         // the owner's note of the request that is out
 
  private:
   enum class State { kReading, kTaking, kBusy, kWriting, kLingering };
 
   void OnData(std::string_view bytes) override;
-  void OnEnd() override { owner_.OnGone(*this); }
+  void OnEnd() override { owner_.OnClosed(*this); }
   void OnWritten(bool ok) override;
   void Advance();
   void TakeMore(Parsed parsed);
@@ -96,7 +96,7 @@
 
   Loop& loop_;
   EdgeOwner& owner_;
-  PassingRoom& passing_;
+  StreamingBufferLimit& passing_;
   const std::shared_ptr<char> alive_ = std::make_shared<char>();
   Stream stream_;
   HttpParser parser_{HttpParser::Kind::kRequest};
--- a/src/flow/admit.h
+++ b/src/flow/admit.h
@@ -9,11 +9,11 @@
 
 namespace umberdyke::net {
 
-class Admit {
+class FlowAdmission {
  public:
   using LastCall = std::function<void(FlowId)>;
   using Refused = std::function<void(int request_class)>;
-  Admit(Loop& loop, FlowTable& flows, Counters& counters, LastCall last_call, Refused refused)
+  FlowAdmission(Loop& loop, FlowTable& flows, Counters& counters, LastCall last_call, Refused refused)
       : loop_(loop),
         flows_(flows),
         counters_(counters),
@@ -22,9 +22,9 @@
   // The time of a flow with a long body begins with Taken, others' at once.
   // Null where another open flow has the request's id: that one is answered here.
   Flow* operator()(EdgeConnection& edge, FlowRequest request) const;
-  void Taken(Flow& flow) const;
+  void OnBodyReceived(Flow& flow) const;
   // The process ends: whatever is open, or comes yet, has its answer before this.
-  void AnswerAllBy(Time end);
+  void SetFinalDeadline(Time end);
 
  private:
   Loop& loop_;
--- a/src/flow/book.cpp
+++ b/src/flow/book.cpp
@@ -35,30 +35,31 @@
 
 }  // namespace
 
-void Book::Note(Flow* flow, Outcome outcome) const {
+void FlowRecorder::RecordAttemptEnd(Flow* flow, Outcome outcome) const {
   if (flow == nullptr) return;
   if (INVARIANT(flow->open > 0, counters_)) --flow->open;
   if (flow->open == 0) flow->state = Flow::State::kDeciding;
   if (!NeverRan(outcome)) flow->may_have_run = true;
 }
 
-void Book::Attempt(const AttemptResult& result, bool settled) const {
+void FlowRecorder::ReportAttempt(const AttemptResult& result, bool settled) const {
   counters_.Add(CounterOf(result.outcome));
   AttemptReport report;
   report.flow = result.flow;
   report.attempt = result.attempt;
   report.server = result.server;
   report.outcome = result.outcome;
-  report.took = result.took;
+  report.elapsed = result.elapsed;
   report.settled = settled;
-  report.load = platform_.ReportIn(result.answer);
-  decisions_.TellAttempt(report);
+  report.load = platform_.ReportIn(result.response);
+  decisions_.OnAttemptEnd(report);
 }
 
-void Book::Close(FlowId id, Ending ending) const {
+void FlowRecorder::CloseFlow(FlowId id, FlowEnd ending) const {
   std::unique_ptr<Flow> flow = flows_.Remove(id);
   if (flow == nullptr) return;
-  tally_.Ended(flow->request.request_class, ending, tally_.timed() ? Clock::now() - flow->taken : Span(0));
+  metrics_.CountFlow(flow->request.request_class, ending,
+                     metrics_.timed() ? Clock::now() - flow->received : Span(0));
   flow->last_call->Stop();
   loop_.Bury(std::move(flow));
 }
--- a/src/flow/book.h
+++ b/src/flow/book.h
@@ -10,32 +10,32 @@
 
 namespace umberdyke::net {
 
-class Book {
+class FlowRecorder {
  public:
-  Book(Loop& loop, FlowTable& flows, const Platform& platform, Decisions& decisions, Tally& tally,
-       Counters& counters)
+  FlowRecorder(Loop& loop, FlowTable& flows, const Platform& platform, Decisions& decisions,
+               FlowMetrics& metrics, Counters& counters)
       : loop_(loop),
         flows_(flows),
         platform_(platform),
         decisions_(decisions),
-        tally_(tally),
+        metrics_(metrics),
         counters_(counters) {}
 
   // Marks the flow, where it is still open, with what the attempt tells of it.
-  void Note(Flow* flow, Outcome outcome) const;
+  void RecordAttemptEnd(Flow* flow, Outcome outcome) const;
   // Tells the module; `settled` where the flow needs no answer any more.
-  void Attempt(const AttemptResult& result, bool settled) const;
+  void ReportAttempt(const AttemptResult& result, bool settled) const;
   // Counts a request that was answered before it became a flow.
-  void Refused(int request_class) const { tally_.Ended(request_class, Ending::kFailed); }
+  void CountInvalidRequest(int request_class) const { metrics_.CountFlow(request_class, FlowEnd::kFailed); }
   // Lets go of a flow that is answered or left, and counts it.
-  void Close(FlowId flow, Ending ending) const;
+  void CloseFlow(FlowId flow, FlowEnd ending) const;
 
  private:
   Loop& loop_;
   FlowTable& flows_;
   const Platform& platform_;
   Decisions& decisions_;
-  Tally& tally_;
+  FlowMetrics& metrics_;
   Counters& counters_;
 };
 
--- a/src/flow/decisions.cpp
+++ b/src/flow/decisions.cpp
@@ -16,9 +16,9 @@
 
 }  // namespace
 
-Decisions::Decisions(Loop& loop, const Config& config, Counters& counters, Actor& actor)
+Decisions::Decisions(Loop& loop, const Config& config, Counters& counters, ActionHandler& handler)
     : counters_(counters),
-      actor_(actor),
+      handler_(handler),
       unix_zero_(Clock::now() -
                  std::chrono::duration_cast<Span>(std::chrono::system_clock::now().time_since_epoch())),
       timer_(loop, [this] { FireTimers(); }) {
@@ -58,23 +58,23 @@
           const auto span = [](Micros time) {
             return time != 0 ? std::optional<Span>(std::chrono::microseconds(time)) : std::nullopt;
           };
-          actor_.SendFlow(a.request, a.upstream, span(a.time_out), span(a.send_within));
+          handler_.SendAttempt(a.request, a.upstream, span(a.time_out), span(a.send_within));
         } else if constexpr (std::is_same_v<T, Cancel>) {
-          actor_.CancelAttempt(a.request, a.attempt);
+          handler_.CancelAttempt(a.request, a.attempt);
         } else if constexpr (std::is_same_v<T, Refuse>) {
-          actor_.TurnDown(a.request, std::chrono::microseconds(a.retry_after));
+          handler_.RejectFlow(a.request, std::chrono::microseconds(a.retry_after));
         } else if constexpr (std::is_same_v<T, Fail>) {
-          actor_.FailFlow(a.request);
+          handler_.FailFlow(a.request);
         } else if constexpr (std::is_same_v<T, SetTimer>) {
           due_.push({Clock::now() + std::chrono::microseconds(a.delay), a.token});
         } else if constexpr (std::is_same_v<T, Subscribe>) {
-          actor_.Watch(a.on);
+          handler_.WatchServerList(a.on);
         } else if constexpr (std::is_same_v<T, Check>) {
-          actor_.CheckServer(a.upstream);
+          handler_.CheckServer(a.upstream);
         } else if constexpr (std::is_same_v<T, CloseIdle>) {
-          actor_.CloseIdle(a.upstream);
+          handler_.CloseIdleConnections(a.upstream);
         } else if constexpr (std::is_same_v<T, Log>) {
-          actor_.Say(a.text);
+          handler_.LogModuleText(a.text);
         } else {
           // FetchList and TellPeers: the module asks for neither.
           static_assert(std::is_same_v<T, FetchList> || std::is_same_v<T, TellPeers>);
@@ -98,7 +98,7 @@
   if (!due_.empty()) timer_.Start(std::max(due_.top().at - Clock::now(), Span::zero()));
 }
 
-void Decisions::TellList(const ListChange& change) {
+void Decisions::OnListChange(const ListChange& change) {
   std::vector<UpstreamEntry> entries;
   for (const ListChange::Entry& entry : change.entries) {
     UpstreamEntry e;
@@ -116,7 +116,7 @@
   });
 }
 
-void Decisions::TellFlow(const Flow& flow) {
+void Decisions::OnNewFlow(const Flow& flow) {
   Request request;
   request.id = flow.id;
   request.request_class = flow.request.request_class;
@@ -130,41 +130,41 @@
   });
 }
 
-void Decisions::TellAttempt(const AttemptReport& report) {
+void Decisions::OnAttemptEnd(const AttemptReport& report) {
   umberdyke::AttemptEnd end;
   end.request = report.flow;
   end.attempt = report.attempt;
   end.upstream = report.server;
   end.outcome = report.outcome;
-  end.elapsed = Count(report.took);
+  end.elapsed = Count(report.elapsed);
   end.settled = report.settled;
   end.report = report.load;
   Queue([end](Balancer& b, Micros at, Actions* out) { b.OnAttemptEnd(at, end, out); });
 }
 
-void Decisions::TellAnswerBegun(FlowId flow, int attempt) {
+void Decisions::OnResponseStart(FlowId flow, int attempt) {
   Queue([=](Balancer& b, Micros at, Actions* out) { b.OnStreamStart(at, flow, attempt, out); });
 }
 
-void Decisions::TellBodyBegun(FlowId flow) {
+void Decisions::OnBodyStart(FlowId flow) {
   Queue([flow](Balancer& b, Micros at, Actions* out) { b.OnBody(at, flow, std::nullopt, out); });
 }
 
-void Decisions::TellBodyOut(const Flow& flow) {
+void Decisions::OnBodySent(const Flow& flow) {
   Queue([id = flow.id, deadline = flow.deadline](Balancer& b, Micros at, Actions* out) {
     b.OnBody(at, id, std::max<Micros>(0, Count(deadline - Clock::now())), out);
   });
 }
 
-void Decisions::TellGone(FlowId flow) {
+void Decisions::OnClientGone(FlowId flow) {
   Queue([flow](Balancer& b, Micros at, Actions* out) { b.OnClientGone(at, flow, out); });
 }
 
-void Decisions::TellZones(const std::vector<double>& parts) {
+void Decisions::OnZoneShares(const std::vector<double>& parts) {
   Queue([parts](Balancer& b, Micros at, Actions* out) { b.OnZones(at, parts, out); });
 }
 
-void Decisions::TellCheck(ServerId server, Outcome outcome, const std::optional<LoadReport>& load) {
+void Decisions::OnCheckResult(ServerId server, Outcome outcome, const std::optional<LoadReport>& load) {
   Queue([=](Balancer& b, Micros at, Actions* out) { b.OnCheck(at, server, outcome, load, out); });
 }
 
--- a/src/flow/decisions.h
+++ b/src/flow/decisions.h
@@ -20,21 +20,21 @@
 namespace umberdyke::net {
 
 // Carries out what the module asks for.
-class Actor {
+class ActionHandler {
  public:
   // `send_within`: the request's last byte is out by then, or never.
-  virtual void SendFlow(FlowId flow, ServerId server, std::optional<Span> time_out,
-                        std::optional<Span> send_within) = 0;
+  virtual void SendAttempt(FlowId flow, ServerId server, std::optional<Span> time_out,
+                           std::optional<Span> send_within) = 0;
   virtual void CancelAttempt(FlowId flow, int attempt) = 0;
-  virtual void TurnDown(FlowId flow, std::chrono::microseconds retry_after) = 0;
+  virtual void RejectFlow(FlowId flow, std::chrono::microseconds retry_after) = 0;
   virtual void FailFlow(FlowId flow) = 0;
-  virtual void Watch(bool on) = 0;
+  virtual void WatchServerList(bool on) = 0;
   virtual void CheckServer(ServerId server) = 0;
-  virtual void CloseIdle(ServerId server) = 0;
-  virtual void Say(const std::string& text) = 0;
+  virtual void CloseIdleConnections(ServerId server) = 0;
+  virtual void LogModuleText(const std::string& text) = 0;
 
  protected:
-  ~Actor() = default;
+  ~ActionHandler() = default;
 };
 
 struct AttemptReport {
@@ -42,7 +42,7 @@
   int attempt = 0;
   ServerId server = 0;
   Outcome outcome = Outcome::kOk;
-  Span took{};
+  Span elapsed{};
   bool settled = false;  // the flow has its final answer, or needs none
   std::optional<LoadReport> load;
 };
@@ -50,20 +50,20 @@
 class Decisions {
  public:
   // Throws ConfigError where the module finds the settings senseless.
-  Decisions(Loop& loop, const Config& config, Counters& counters, Actor& actor);
+  Decisions(Loop& loop, const Config& config, Counters& counters, ActionHandler& handler);
 
   int Avoided() const { return balancer_->Avoided(ToMicros(Clock::now())); }
-  void TellList(const ListChange& change);
-  void TellFlow(const Flow& flow);
+  void OnListChange(const ListChange& change);
+  void OnNewFlow(const Flow& flow);
   // A long answer has begun; a long body has begun to leave; its last byte is out.
-  void TellAnswerBegun(FlowId flow, int attempt);
-  void TellBodyBegun(FlowId flow);
-  void TellBodyOut(const Flow& flow);
-  void TellAttempt(const AttemptReport& report);
-  void TellGone(FlowId flow);
+  void OnResponseStart(FlowId flow, int attempt);
+  void OnBodyStart(FlowId flow);
+  void OnBodySent(const Flow& flow);
+  void OnAttemptEnd(const AttemptReport& report);
+  void OnClientGone(FlowId flow);
   // Each zone's part of what it would get, by number.
-  void TellZones(const std::vector<double>& parts);
-  void TellCheck(ServerId server, Outcome outcome, const std::optional<LoadReport>& load);
+  void OnZoneShares(const std::vector<double>& parts);
+  void OnCheckResult(ServerId server, Outcome outcome, const std::optional<LoadReport>& load);
 
  private:
   using Event = std::function<void(Balancer&, Micros, Actions*)>;
@@ -80,7 +80,7 @@
   void ArmTimer();
 
   Counters& counters_;
-  Actor& actor_;
+  ActionHandler& handler_;
   const Time unix_zero_;  // the monotonic time of Unix time 0, as the clocks stood at the start
   std::optional<Balancer> balancer_;
   std::deque<Event> events_;
--- a/src/flow/flow.h
+++ b/src/flow/flow.h
@@ -19,7 +19,7 @@
 struct Flow {
   enum class State {
     kDeciding,  // the module has it
-    kOut,       // an attempt is in flight
+    kInFlight,  // an attempt is in flight
     kAnswered,  // the one final answer is written, or nobody waits for it any more
   };
 
@@ -27,17 +27,17 @@
   FlowRequest request;
   EdgeConnection* edge = nullptr;
   State state = State::kDeciding;
-  Time taken{};
+  Time received{};
   Time deadline{};  // when the client gives up
   int attempts = 0;
-  int open = 0;               // attempts in flight
-  bool may_have_run = false;  // an attempt ended in a way that does not prove the contrary
-  bool taking = false;        // its long body is still coming
-  bool body_left = false;     // and some of it has gone on to a server: it can't be sent again
+  int open = 0;                 // attempts in flight
+  bool may_have_run = false;    // an attempt ended in a way that does not prove the contrary
+  bool receiving_body = false;  // its long body is still coming
+  bool body_left = false;       // and some of it has gone on to a server: it can't be sent again
   bool body_sent = false;
-  Span wait{};           // of the attempt that is out, from its last byte on
-  bool passing = false;  // its long answer has begun to reach the client
-  int unfit = 0;         // the status with which a real server found the request itself at fault
+  Span wait{};                      // of the attempt that is out, from its last byte on
+  bool streaming_response = false;  // its long answer has begun to reach the client
+  int unfit_status = 0;             // the status with which a real server found the request itself at fault
   std::unique_ptr<Timer> last_call;
 };
 
@@ -67,9 +67,9 @@
   }
   size_t size() const { return flows_.size(); }
   // Those whose request has come whole.
-  size_t taken() const {
+  size_t fully_received() const {
     return static_cast<size_t>(
-        std::count_if(flows_.begin(), flows_.end(), [](const auto& f) { return !f.second->taking; }));
+        std::count_if(flows_.begin(), flows_.end(), [](const auto& f) { return !f.second->receiving_body; }));
   }
 
  private:
--- a/src/flow/relay.cpp
+++ b/src/flow/relay.cpp
@@ -5,73 +5,75 @@
 
 // Behind an answer to half a body the rest of that body would come.
 bool KeepAlive(const Flow& flow, bool draining) {
-  return flow.request.message.keep_alive && !draining && !flow.taking;
+  return flow.request.message.keep_alive && !draining && !flow.receiving_body;
 }
 
 }  // namespace
 
-Ending Relay::Served(Flow& flow, const Message& answer, bool draining) const {
+FlowEnd ResponseWriter::SendServed(Flow& flow, const Message& answer, bool draining) const {
   counters_.Add("flows_served");
   const bool keep = KeepAlive(flow, draining);
   Write(flow, platform_.ServedAnswer(answer, keep), keep);
-  return Ending::kServed;
+  return FlowEnd::kServed;
 }
 
-bool Relay::Begin(Flow& flow, const Message& head, bool draining) const {
-  INVARIANT(flow.state != Flow::State::kAnswered && !flow.taking, counters_);
+bool ResponseWriter::BeginStreaming(Flow& flow, const Message& head, bool draining) const {
+  INVARIANT(flow.state != Flow::State::kAnswered && !flow.receiving_body, counters_);
   counters_.Add("flows_served_long");
   flow.state = Flow::State::kAnswered;
-  flow.passing = true;
+  flow.streaming_response = true;
   flow.last_call->Stop();
   const Framing framing = Platform::FramingOf(head, flow.request.message.takes_chunks);
   const bool keep = KeepAlive(flow, draining) && (framing.length || framing.chunked);
-  return flow.edge->BeginAnswer(platform_.ServedHead(head, framing, keep), framing, keep);
+  return flow.edge->BeginResponse(platform_.ServedHead(head, framing, keep), framing, keep);
 }
 
-Ending Relay::Finish(Flow& flow) const {
+FlowEnd ResponseWriter::FinishStreaming(Flow& flow) const {
   counters_.Add("flows_served");
   flow.edge->flow = 0;
-  flow.edge->EndAnswer();
-  return Ending::kServed;
+  flow.edge->EndResponse();
+  return FlowEnd::kServed;
 }
 
-Ending Relay::Break(Flow& flow) const {
+FlowEnd ResponseWriter::AbortStreaming(Flow& flow) const {
   counters_.Add("flows_broken");
   flow.edge->flow = 0;
-  flow.edge->BreakAnswer();
-  return Ending::kFailed;
+  flow.edge->AbortResponse();
+  return FlowEnd::kFailed;
 }
 
 // A refusal tells the client that it may send the request anew: a second effect, if this one had one.
-bool Relay::MayTurnDown(const Flow& flow) const {
+bool ResponseWriter::MayReject(const Flow& flow) const {
   if (!flow.may_have_run && flow.open == 0) return true;
   const RequestClass& c = settings_.classes[static_cast<size_t>(flow.request.request_class)];
   return c.repeat == Repeat::kSafe || (c.repeat == Repeat::kKeyed && c.group == Group::kAll);
 }
 
-Ending Relay::TurnDown(Flow& flow, std::chrono::microseconds retry_after, bool draining) const {
-  if (!INVARIANT(MayTurnDown(flow), counters_)) return Failed(flow, draining);
+FlowEnd ResponseWriter::SendRejection(Flow& flow, std::chrono::microseconds retry_after,
+                                      bool draining) const {
+  if (!INVARIANT(MayReject(flow), counters_)) return SendFailure(flow, draining);
   counters_.Add("flows_turned_down");
   const bool keep = KeepAlive(flow, draining);
   Write(flow, Platform::TurnDownAnswer(retry_after, keep), keep);
-  return Ending::kTurnedDown;
+  return FlowEnd::kRejected;
 }
 
-Ending Relay::Failed(Flow& flow, bool draining) const {
+FlowEnd ResponseWriter::SendFailure(Flow& flow, bool draining) const {
   counters_.Add("flows_failed");
   const bool keep = KeepAlive(flow, draining);
   const bool in_time = Clock::now() < flow.deadline - std::chrono::milliseconds(20);
-  const bool unfit = flow.unfit != 0;
-  Write(flow, unfit ? Platform::UnfitAnswer(flow.unfit, keep) : Platform::FailedAnswer(in_time, keep), keep);
-  return Ending::kFailed;
+  const bool unfit = flow.unfit_status != 0;
+  Write(flow, unfit ? Platform::UnfitAnswer(flow.unfit_status, keep) : Platform::FailedAnswer(in_time, keep),
+        keep);
+  return FlowEnd::kFailed;
 }
 
-void Relay::Write(Flow& flow, std::string answer, bool keep_alive) const {
+void ResponseWriter::Write(Flow& flow, std::string answer, bool keep_alive) const {
   if (!INVARIANT(flow.state != Flow::State::kAnswered, counters_)) return;
   flow.state = Flow::State::kAnswered;
   flow.last_call->Stop();
   flow.edge->flow = 0;
-  flow.edge->Answer(std::move(answer), keep_alive);
+  flow.edge->SendResponse(std::move(answer), keep_alive);
 }
 
 }  // namespace umberdyke::net
--- a/src/flow/relay.h
+++ b/src/flow/relay.h
@@ -11,24 +11,26 @@
 
 namespace umberdyke::net {
 
-class Relay {
+class ResponseWriter {
  public:
-  Relay(const Platform& platform, const Settings& settings, Counters& counters)
+  ResponseWriter(const Platform& platform, const Settings& settings, Counters& counters)
       : platform_(platform), settings_(settings), counters_(counters) {}
 
-  Ending Served(Flow& flow, const Message& answer, bool draining) const;
+  FlowEnd SendServed(Flow& flow, const Message& answer, bool draining) const;
   // A long answer goes on as it comes: its head, its pieces, and its end or that there is none. Pieces and
   // head are false where the client lags.
-  bool Begin(Flow& flow, const Message& head, bool draining) const;
-  bool Piece(Flow& flow, std::string piece) const { return flow.edge->AnswerPiece(std::move(piece)); }
-  Ending Finish(Flow& flow) const;
-  Ending Break(Flow& flow) const;
+  bool BeginStreaming(Flow& flow, const Message& head, bool draining) const;
+  bool StreamData(Flow& flow, std::string piece) const {
+    return flow.edge->SendResponseData(std::move(piece));
+  }
+  FlowEnd FinishStreaming(Flow& flow) const;
+  FlowEnd AbortStreaming(Flow& flow) const;
   // Says that trying again is harmless, where that is true; else it fails.
-  Ending TurnDown(Flow& flow, std::chrono::microseconds retry_after, bool draining) const;
-  Ending Failed(Flow& flow, bool draining) const;
+  FlowEnd SendRejection(Flow& flow, std::chrono::microseconds retry_after, bool draining) const;
+  FlowEnd SendFailure(Flow& flow, bool draining) const;
 
  private:
-  bool MayTurnDown(const Flow& flow) const;
+  bool MayReject(const Flow& flow) const;
   void Write(Flow& flow, std::string answer, bool keep_alive) const;
 
   const Platform& platform_;
--- a/src/flow/route.cpp
+++ b/src/flow/route.cpp
@@ -10,17 +10,19 @@
 
 }  // namespace
 
-std::optional<Routed> Route::operator()(const Flow& flow, ServerId server, std::optional<Span> time_out,
-                                        std::optional<Span> send_within) const {
-  if (!Open(server)) return std::nullopt;
+std::optional<AttemptRoute> AttemptRouter::operator()(const Flow& flow, ServerId server,
+                                                      std::optional<Span> time_out,
+                                                      std::optional<Span> send_within) const {
+  if (!AcceptsNewWork(server)) return std::nullopt;
   const Time now = Clock::now();
   const Span left = flow.deadline - kAnswerTime - now;
   const Span wait = time_out ? std::min(*time_out, left) : left;
   if (wait < 1ms) return std::nullopt;
-  return Routed{server, entry_.Find(server)->address, wait, send_within ? now + *send_within : Time::max()};
+  return AttemptRoute{server, entry_.Find(server)->address, wait,
+                      send_within ? now + *send_within : Time::max()};
 }
 
-bool Route::Open(ServerId server) const {
+bool AttemptRouter::AcceptsNewWork(ServerId server) const {
   const ServerRecord* record = entry_.Find(server);
   if (record == nullptr || record->address.ss_family == AF_UNSPEC) return false;
   return record->state == UpstreamState::kReady ||
--- a/src/flow/route.h
+++ b/src/flow/route.h
@@ -9,21 +9,21 @@
 
 namespace umberdyke::net {
 
-struct Routed {
+struct AttemptRoute {
   ServerId server = 0;
   Address address{};
   Span wait{};
   Time send_by{};  // its last byte, or never
 };
 
-class Route {
+class AttemptRouter {
  public:
-  Route(const ServiceEntry& entry, const Settings& settings) : entry_(entry), settings_(settings) {}
+  AttemptRouter(const ServiceEntry& entry, const Settings& settings) : entry_(entry), settings_(settings) {}
   // Nothing where no attempt may go out: an unknown or leaving server, or no time left.
-  std::optional<Routed> operator()(const Flow& flow, ServerId server, std::optional<Span> time_out,
-                                   std::optional<Span> send_within) const;
+  std::optional<AttemptRoute> operator()(const Flow& flow, ServerId server, std::optional<Span> time_out,
+                                         std::optional<Span> send_within) const;
   // Whether the list, as it stands now, lets new work go there.
-  bool Open(ServerId server) const;
+  bool AcceptsNewWork(ServerId server) const;
 
  private:
   const ServiceEntry& entry_;
--- a/src/flow/send.cpp
+++ b/src/flow/send.cpp
@@ -6,9 +6,9 @@
 
 namespace umberdyke::net {
 
-void SendOut::operator()(Flow& flow, int attempt, const Routed& routed) {
+void AttemptSender::operator()(Flow& flow, int attempt, const AttemptRoute& routed) {
   INVARIANT(copies_ || flow.open == 0, counters_);
-  flow.state = Flow::State::kOut;
+  flow.state = Flow::State::kInFlight;
   ++flow.open;
   counters_.Add("attempts_sent");
   const std::pair<FlowId, int> key(flow.id, attempt);
@@ -18,7 +18,7 @@
   ExchangeEvents events;
   events.request = [this, id = flow.id, server = routed.server](Span left) -> std::optional<std::string> {
     const auto time = std::chrono::floor<std::chrono::milliseconds>(left);
-    const Flow* wanted = route_.Open(server) && time.count() > 0 ? wanted_(id) : nullptr;
+    const Flow* wanted = route_.AcceptsNewWork(server) && time.count() > 0 ? wanted_(id) : nullptr;
     return wanted == nullptr ? std::nullopt : std::optional(platform_.RequestFor(wanted->request, time));
   };
   events.sent = [this, id = flow.id, fed] { Sent(id, fed); };
@@ -35,17 +35,17 @@
   attempts_[key] = {exchange, routed.server, Clock::now()};
 }
 
-void SendOut::Sent(FlowId flow, bool fed) {
-  tally_.Dispatched();
+void AttemptSender::Sent(FlowId flow, bool fed) {
+  metrics_.CountSentAttempt();
   if (fed) passing_.body_ends(flow);
 }
 
-const SendOut::Attempt* SendOut::AttemptOf(const Flow& flow) const {
+const AttemptSender::Attempt* AttemptSender::AttemptOf(const Flow& flow) const {
   const auto it = attempts_.find({flow.id, flow.attempts - 1});
   return it == attempts_.end() ? nullptr : &it->second;
 }
 
-void SendOut::Pump(Flow& flow) {
+void AttemptSender::ForwardBody(Flow& flow) {
   const Attempt* attempt = AttemptOf(flow);
   if (attempt == nullptr || flow.body_sent || !servers_.HasRoom(attempt->exchange)) return;
   const Framing framing = Platform::FramingOf(flow.request.message, true);
@@ -53,21 +53,21 @@
     if (!std::exchange(flow.body_left, true)) passing_.body_begins(flow.id);
     servers_.Feed(attempt->exchange, WritePiece(std::move(piece), framing));
   }
-  if (flow.taking || !flow.edge->body_whole()) return;
+  if (flow.receiving_body || !flow.edge->body_consumed()) return;
   flow.body_sent = true;
   servers_.Feed(attempt->exchange, WriteLastPiece(framing));
   servers_.EndFeed(attempt->exchange, std::min<Span>(flow.wait, flow.deadline - Clock::now()));
 }
 
-void SendOut::Pause(const Flow& flow) {
+void AttemptSender::PauseResponse(const Flow& flow) {
   if (const Attempt* attempt = AttemptOf(flow); attempt != nullptr) servers_.PauseAnswer(attempt->exchange);
 }
 
-void SendOut::Resume(const Flow& flow) {
+void AttemptSender::ResumeResponse(const Flow& flow) {
   if (const Attempt* attempt = AttemptOf(flow); attempt != nullptr) servers_.ResumeAnswer(attempt->exchange);
 }
 
-void SendOut::Cancel(FlowId flow, int attempt) {
+void AttemptSender::Cancel(FlowId flow, int attempt) {
   const auto it = attempts_.find({flow, attempt});
   if (it == attempts_.end()) return;
   const Attempt cancelled = it->second;
@@ -78,7 +78,7 @@
   done_({flow, attempt, cancelled.server, outcome, Clock::now() - cancelled.sent, {}});
 }
 
-void SendOut::Abandon(FlowId flow) {
+void AttemptSender::CancelUnsent(FlowId flow) {
   std::vector<int> unsent;
   for (auto it = attempts_.lower_bound({flow, 0}); it != attempts_.end() && it->first.first == flow; ++it) {
     if (!servers_.IsOut(it->second.exchange)) unsent.push_back(it->first.second);
@@ -86,7 +86,7 @@
   for (const int attempt : unsent) Cancel(flow, attempt);
 }
 
-Outcome SendOut::OutcomeOf(const ExchangeEnd& end) {
+Outcome AttemptSender::OutcomeOf(const ExchangeEnd& end) {
   switch (end.how) {
     case ExchangeEnd::How::kAnswered:
       return Platform::OutcomeOf(end.answer);
--- a/src/flow/send.h
+++ b/src/flow/send.h
@@ -20,11 +20,11 @@
   int attempt = 0;
   ServerId server = 0;
   Outcome outcome = Outcome::kOk;
-  Span took{};
-  Message answer;
+  Span elapsed{};
+  Message response;
 };
 
-class SendOut {
+class AttemptSender {
  public:
   using Done = std::function<void(AttemptResult)>;
   using Wanted = std::function<const Flow*(FlowId)>;  // null where its client has left
@@ -35,28 +35,29 @@
     std::function<void(FlowId, int attempt, const Message& head)> answer;
     std::function<void(FlowId, int attempt, std::string piece)> piece;
   };
-  SendOut(RealServers& servers, const Route& route, const Platform& platform, Tally& tally,
-          Counters& counters, bool copies, Wanted wanted, Done done, Passing passing)
+  AttemptSender(RealServers& servers, const AttemptRouter& route, const Platform& platform,
+                FlowMetrics& metrics, Counters& counters, bool copies, Wanted wanted, Done done,
+                Passing passing)
       : servers_(servers),
         route_(route),
         platform_(platform),
-        tally_(tally),
+        metrics_(metrics),
         counters_(counters),
         copies_(copies),
         wanted_(std::move(wanted)),
         done_(std::move(done)),
         passing_(std::move(passing)) {}
 
-  void operator()(Flow& flow, int attempt, const Routed& routed);
+  void operator()(Flow& flow, int attempt, const AttemptRoute& routed);
   // More of a long body has come, or its attempt has room for more.
-  void Pump(Flow& flow);
+  void ForwardBody(Flow& flow);
   // The client reads its long answer too slowly, or has caught up.
-  void Pause(const Flow& flow);
-  void Resume(const Flow& flow);
+  void PauseResponse(const Flow& flow);
+  void ResumeResponse(const Flow& flow);
   // Ends the attempt at once; nothing for one that is over.
   void Cancel(FlowId flow, int attempt);
   // The client has gone: attempts that have not left whole never do.
-  void Abandon(FlowId flow);
+  void CancelUnsent(FlowId flow);
   size_t open() const { return attempts_.size(); }
   static Outcome OutcomeOf(const ExchangeEnd& end);
 
@@ -69,9 +70,9 @@
   const Attempt* AttemptOf(const Flow& flow) const;
   void Sent(FlowId flow, bool fed);
   RealServers& servers_;
-  const Route& route_;
+  const AttemptRouter& route_;
   const Platform& platform_;
-  Tally& tally_;
+  FlowMetrics& metrics_;
   Counters& counters_;
   const bool copies_;  // two attempts of one flow may be in flight together
   const Wanted wanted_;
--- a/src/flow/take_in.h
+++ b/src/flow/take_in.h
@@ -11,18 +11,18 @@
 
 namespace umberdyke::net {
 
-class TakeIn {
+class RequestIntake {
  public:
   // `refused` hears of each request of a known class that is answered here.
   using Refused = std::function<void(int request_class)>;
-  TakeIn(const Platform& platform, Counters& counters, Refused refused)
+  RequestIntake(const Platform& platform, Counters& counters, Refused refused)
       : platform_(platform), counters_(counters), refused_(std::move(refused)) {}
   // Nothing where the message was answered here: the sidecar's own pages and bad requests. `ready` is what
   // the page of that name says; `leaving` connections end with their next answer.
   std::optional<FlowRequest> operator()(EdgeConnection& edge, Message message, bool long_body, bool ready,
                                         bool leaving) const;
-  void Refuse(EdgeConnection& edge, Parsed why) const;
-  void RefuseSlow(EdgeConnection& edge) const;
+  void RespondToInvalidRequest(EdgeConnection& edge, Parsed why) const;
+  void RespondToSlowRequest(EdgeConnection& edge) const;
 
  private:
   const Platform& platform_;
--- a/src/flow/tally.h
+++ b/src/flow/tally.h
@@ -14,30 +14,30 @@
 
 namespace umberdyke::net {
 
-enum class Ending {
+enum class FlowEnd {
   kServed,
-  kTurnedDown,
+  kRejected,
   kFailed,
-  kLeft,  // the client went before its answer was whole
+  kClientGone,  // the client went before its answer was whole
 };
 
-class Tally {
+class FlowMetrics {
  public:
   // `timed`: somebody may ask how long answers took.
-  explicit Tally(const std::vector<std::string>& class_names, bool timed = false) : timed_(timed) {
+  explicit FlowMetrics(const std::vector<std::string>& class_names, bool timed = false) : timed_(timed) {
     for (const std::string& name : class_names) figures_.classes.push_back({name, 0, 0, 0});
   }
 
-  void Ended(int request_class, Ending ending, Span took = {}) {
+  void CountFlow(int request_class, FlowEnd ending, Span took = {}) {
     Figures::OfClass& c = figures_.classes.at(static_cast<size_t>(request_class));
-    ++(ending == Ending::kServed ? c.success : ending == Ending::kTurnedDown ? c.overload : c.error);
-    if (ending != Ending::kServed || !timed_) return;
+    ++(ending == FlowEnd::kServed ? c.success : ending == FlowEnd::kRejected ? c.overload : c.error);
+    if (ending != FlowEnd::kServed || !timed_) return;
     const auto ms =
         static_cast<std::uint64_t>(std::chrono::duration_cast<std::chrono::milliseconds>(took).count());
     const size_t bins = std::min<size_t>(figures_.slower.size(), static_cast<size_t>(std::bit_width(ms)));
     for (size_t i = 0; i < bins; ++i) ++figures_.slower[i];
   }
-  void Dispatched() { ++figures_.dispatches; }
+  void CountSentAttempt() { ++figures_.dispatches; }
   bool timed() const { return timed_; }
   const Figures& figures() const { return figures_; }
 
--- a/src/passing/room.h
+++ b/src/passing/room.h
@@ -12,21 +12,21 @@
 
 namespace umberdyke::net {
 
-class PassingRoom {
+class StreamingBufferLimit {
  public:
-  static constexpr size_t kLargestWindow = 64 * 1024;
-  static constexpr size_t kSmallestWindow = 8 * 1024;
+  static constexpr size_t kMaxWindow = 64 * 1024;
+  static constexpr size_t kMinWindow = 8 * 1024;
 
-  explicit PassingRoom(std::int64_t memory) : memory_(static_cast<size_t>(memory)) {}
+  explicit StreamingBufferLimit(std::int64_t memory) : memory_(static_cast<size_t>(memory)) {}
 
-  void Begin() { ++transfers_; }
-  void End() { transfers_ -= transfers_ > 0 ? 1 : 0; }
+  void BeginTransfer() { ++transfers_; }
+  void EndTransfer() { transfers_ -= transfers_ > 0 ? 1 : 0; }
   size_t transfers() const { return transfers_; }
   // Two processes of one sidecar have half each.
-  void Share(bool shared) { shared_ = shared; }
+  void SetShared(bool shared) { shared_ = shared; }
   size_t window() const {
     const size_t all = memory_ / (shared_ ? 8 : 4);
-    return std::clamp(all / std::max<size_t>(1, transfers_), kSmallestWindow, kLargestWindow);
+    return std::clamp(all / std::max<size_t>(1, transfers_), kMinWindow, kMaxWindow);
   }
 
  private:
--- a/src/server/real_server.cpp
+++ b/src/server/real_server.cpp
@@ -62,7 +62,7 @@
   Timer timer;
 };
 
-RealServers::RealServers(Loop& loop, const Limits& limits, PassingRoom& passing, Counters& counters)
+RealServers::RealServers(Loop& loop, const Limits& limits, StreamingBufferLimit& passing, Counters& counters)
     : loop_(loop), limits_(limits), passing_(passing), counters_(counters) {}
 
 RealServers::~RealServers() = default;
@@ -73,7 +73,7 @@
   Exchange& exchange = *(exchanges_[id] = std::make_unique<Exchange>(*this, id));
   exchange.events = std::move(events);
   exchange.fed = fed;
-  if (fed) passing_.Begin();
+  if (fed) passing_.BeginTransfer();
   exchange.started = Clock::now();
   exchange.until = exchange.started + time_out;
   if (!fed) exchange.send_by = send_by;
@@ -248,7 +248,7 @@
     exchange->passing = true;
     exchange->took = Clock::now() - exchange->started;
     connection.stream.KeepQueueShort();
-    passing_.Begin();
+    passing_.BeginTransfer();
     exchange->head = parser.TakeHead();
     exchange->events.answer(exchange->head);
     if (connection.exchange != exchange) return;  // nobody wants it
@@ -383,8 +383,8 @@
 }
 
 void RealServers::Forget(const Exchange& exchange) {
-  if (exchange.fed) passing_.End();
-  if (exchange.passing) passing_.End();
+  if (exchange.fed) passing_.EndTransfer();
+  if (exchange.passing) passing_.EndTransfer();
 }
 
 bool RealServers::Fresh(const Connection& connection) const {
--- a/src/server/real_server.h
+++ b/src/server/real_server.h
@@ -57,7 +57,7 @@
     int descriptors;
   };
 
-  RealServers(Loop& loop, const Limits& limits, PassingRoom& passing, Counters& counters);
+  RealServers(Loop& loop, const Limits& limits, StreamingBufferLimit& passing, Counters& counters);
   ~RealServers();
 
   // The request's last byte is written by `send_by`, or never; a body that is fed knows no such time.
@@ -106,7 +106,7 @@
 
   Loop& loop_;
   Limits limits_;
-  PassingRoom& passing_;
+  StreamingBufferLimit& passing_;
   Counters& counters_;
   const std::shared_ptr<char> alive_ = std::make_shared<char>();
   int open_ = 0;
--- a/src/sidecar/sidecar.cpp
+++ b/src/sidecar/sidecar.cpp
@@ -35,37 +35,38 @@
       config_(config),
       log_(std::move(log)),
       platform_(config_),
-      tally_(config_.class_names, config_.console.has_value()),
-      passing_(config_.memory),
+      metrics_(config_.class_names, config_.console.has_value()),
+      streaming_limit_(config_.memory),
       entry_(counters_, [this](const ListChange& c) { Told(c); }),
-      servers_(loop, ServerLimits(config_), passing_, counters_),
+      servers_(loop, ServerLimits(config_), streaming_limit_, counters_),
       decisions_(loop, config_, counters_, *this),
-      take_in_(platform_, counters_, [this](int request_class) { book_.Refused(request_class); }),
-      admit_(
+      request_intake_(platform_, counters_,
+                      [this](int request_class) { flow_recorder_.CountInvalidRequest(request_class); }),
+      flow_admission_(
           loop, flows_, counters_, [this](FlowId flow) { LastCall(flow); },
-          [this](int request_class) { book_.Refused(request_class); }),
-      route_(entry_, config_.settings),
-      send_(
-          servers_, route_, platform_, tally_, counters_, config_.settings.parallel_attempts,
+          [this](int request_class) { flow_recorder_.CountInvalidRequest(request_class); }),
+      attempt_router_(entry_, config_.settings),
+      attempt_sender_(
+          servers_, attempt_router_, platform_, metrics_, counters_, config_.settings.parallel_attempts,
           [this](FlowId flow) { return Wanted(flow); },
           [this](AttemptResult result) { AttemptEnded(std::move(result)); },
           {[this](FlowId id) {
-             if (Flow* flow = flows_.Find(id); flow != nullptr) send_.Pump(*flow);
+             if (Flow* flow = flows_.Find(id); flow != nullptr) attempt_sender_.ForwardBody(*flow);
            },
-           [this](FlowId flow) { decisions_.TellBodyBegun(flow); },
+           [this](FlowId flow) { decisions_.OnBodyStart(flow); },
            [this](FlowId id) {
-             if (const Flow* flow = flows_.Find(id); flow != nullptr) decisions_.TellBodyOut(*flow);
+             if (const Flow* flow = flows_.Find(id); flow != nullptr) decisions_.OnBodySent(*flow);
            },
            [this](FlowId flow, int attempt, const Message& head) { AnswerBegins(flow, attempt, head); },
            [this](FlowId flow, int attempt, std::string piece) {
              AnswerPiece(flow, attempt, std::move(piece));
            }}),
-      relay_(platform_, config_.settings, counters_),
-      book_(loop, flows_, platform_, decisions_, tally_, counters_),
+      response_writer_(platform_, config_.settings, counters_),
+      flow_recorder_(loop, flows_, platform_, decisions_, metrics_, counters_),
       listener_(loop, [this] { AcceptWaiting(); }),
       edge_limit_(EdgeLimit(config_)),
       begin_timer_(loop, [this] { BeginServing(); }),
-      accept_timer_(loop, [this] { OnRested(); }),
+      accept_timer_(loop, [this] { OnIdle(); }),
       close_timer_(loop, [this] { CloseEdges(); }),
       listener_timer_(loop, [this] { StopListening(); }),
       idle_timer_(loop, [this] { CloseIdleEdges(); }),
@@ -81,7 +82,7 @@
     zones_ = std::make_unique<ZoneWatch>(
         loop, config_, counters_, *log_,
         ZoneWatch::Owner{
-            [this](const std::vector<double>& parts) { decisions_.TellZones(parts); },
+            [this](const std::vector<double>& parts) { decisions_.OnZoneShares(parts); },
             [this](ServerId server) { Check(server, [](Outcome, const std::optional<LoadReport>&) {}); }});
   }
   const std::optional<ListedChange> known = platform_.ReadList(config_.known);
@@ -155,14 +156,14 @@
 void Sidecar::Shared() {
   const bool shared = handover_->shared();
   edge_limit_ = EdgeLimit(config_, shared);
-  passing_.Share(shared);
+  streaming_limit_.SetShared(shared);
   servers_.LimitTo(edge_limit_);
   ShedTo(edge_limit_);
   log_->Say(Event::kTakenOver,
             config_.name + (shared ? " shares its limits with another process" : " has its limits to itself"),
             {{"serves", handover_->successor()}});
   if (!handover_->predecessor() && inherited_) BeginServing();  // nobody else takes what waits
-  OnRested();
+  OnIdle();
 }
 
 // Those at rest, or silent, over a limit; what is busy stays.
@@ -171,7 +172,9 @@
   }
 }
 
-void Sidecar::Say(const std::string& text) { log_->Say(Event::kModule, "module: " + text, {{"said", text}}); }
+void Sidecar::LogModuleText(const std::string& text) {
+  log_->Say(Event::kModule, "module: " + text, {{"said", text}});
+}
 
 void Sidecar::Told(const ListChange& change) {
   // One line for a run of failures and one for its end: discovery may be down for days.
@@ -185,7 +188,7 @@
               {{"failures", std::int64_t{failures}}});
   }
   if (zones_) zones_->Listed(change);
-  decisions_.TellList(change);
+  decisions_.OnListChange(change);
   const bool told = change.kind != ListUpdate::kFailed && change.kind != ListUpdate::kCached;
   if (told && (inherited_ || awaits_list_)) {
     loop_.Post(alive_, [this] {
@@ -195,13 +198,13 @@
   }
   // What leaves gets nothing new: connections at rest there only hold descriptors.
   for (const ListChange::Entry& entry : change.entries) {
-    if (!route_.Open(entry.server)) servers_.CloseIdle(entry.server);
+    if (!attempt_router_.AcceptsNewWork(entry.server)) servers_.CloseIdle(entry.server);
   }
 }
 
 void Sidecar::AcceptWaiting() {
   if (static_cast<int>(edges_.size()) >= edge_limit_ && !ShedOldestEdge()) return LetWait();
-  auto edge = std::make_unique<EdgeConnection>(loop_, *this, passing_);
+  auto edge = std::make_unique<EdgeConnection>(loop_, *this, streaming_limit_);
   if (std::exchange(accept_waits_, false)) listener_.Resume();
   if (!edge->Accept(listener_)) {  // none can be had, or another process of this sidecar was quicker
     if (!listener_.out_of_descriptors()) return;
@@ -226,149 +229,153 @@
 bool Sidecar::ShedOldestEdge() {
   std::vector<EdgeConnection*> idle;
   for (const auto& [edge, owned] : edges_) {
-    if (edge->spare() || edge->silent() || edge->lingers()) idle.push_back(edge);
+    if (edge->idle_after_response() || edge->first_request_overdue() || edge->lingering())
+      idle.push_back(edge);
   }
   const auto rank = [](const EdgeConnection* e) {
-    return std::tuple(!e->lingers(), e->began(), e->rested());
+    return std::tuple(!e->lingering(), e->has_started_request(), e->last_activity());
   };
   std::sort(idle.begin(), idle.end(), [&](const auto* a, const auto* b) { return rank(a) < rank(b); });
   // A request may wait there unread.
-  const auto oldest = std::find_if(idle.begin(), idle.end(), [](const auto* e) { return e->Quiet(); });
+  const auto oldest =
+      std::find_if(idle.begin(), idle.end(), [](const auto* e) { return e->NoUnreadInput(); });
   if (oldest == idle.end()) return false;
   counters_.Add("edges_shed");
-  OnGone(**oldest);
+  OnClosed(**oldest);
   return true;
 }
 
 void Sidecar::OnRequest(EdgeConnection& edge, Message message) { Take(edge, std::move(message), false); }
 
-void Sidecar::OnLongRequest(EdgeConnection& edge, Message head) {
+void Sidecar::OnStreamingRequest(EdgeConnection& edge, Message head) {
   counters_.Add("requests_long");
   Take(edge, std::move(head), true);
 }
 
 void Sidecar::Take(EdgeConnection& edge, Message message, bool long_body) {
   const bool ready = life_.ready() || replaced();
-  std::optional<FlowRequest> request = take_in_(edge, std::move(message), long_body, ready, Leaves(edge));
+  std::optional<FlowRequest> request =
+      request_intake_(edge, std::move(message), long_body, ready, Leaves(edge));
   if (!request) return;
-  Flow* flow = admit_(edge, std::move(*request));
+  Flow* flow = flow_admission_(edge, std::move(*request));
   if (flow == nullptr) return;
-  if (long_body && edge.body_received()) admit_.Taken(*flow);
-  decisions_.TellFlow(*flow);
+  if (long_body && edge.body_received()) flow_admission_.OnBodyReceived(*flow);
+  decisions_.OnNewFlow(*flow);
 }
 
-void Sidecar::OnBody(EdgeConnection& edge) {
+void Sidecar::OnBodyData(EdgeConnection& edge) {
   Flow* flow = flows_.Find(edge.flow);
   if (flow == nullptr) return;
-  if (edge.body_received() && flow->taking) admit_.Taken(*flow);
-  send_.Pump(*flow);
+  if (edge.body_received() && flow->receiving_body) flow_admission_.OnBodyReceived(*flow);
+  attempt_sender_.ForwardBody(*flow);
 }
 
-void Sidecar::OnRoom(EdgeConnection& edge) {
-  if (const Flow* flow = flows_.Find(edge.flow); flow != nullptr) send_.Resume(*flow);
+void Sidecar::OnWritable(EdgeConnection& edge) {
+  if (const Flow* flow = flows_.Find(edge.flow); flow != nullptr) attempt_sender_.ResumeResponse(*flow);
 }
 
 // What comes of a long body is no body, or comes too slowly: its flow ends with the answer that says so.
-void Sidecar::OnBadInput(EdgeConnection& edge, Parsed why) {
-  LeaveFlow(edge, Ending::kFailed);
-  take_in_.Refuse(edge, why);
+void Sidecar::OnInvalidRequest(EdgeConnection& edge, Parsed why) {
+  LeaveFlow(edge, FlowEnd::kFailed);
+  request_intake_.RespondToInvalidRequest(edge, why);
 }
 
-void Sidecar::OnSlowInput(EdgeConnection& edge) {
-  LeaveFlow(edge, Ending::kFailed);
-  take_in_.RefuseSlow(edge);
+void Sidecar::OnRequestTimeout(EdgeConnection& edge) {
+  LeaveFlow(edge, FlowEnd::kFailed);
+  request_intake_.RespondToSlowRequest(edge);
 }
 
-void Sidecar::LeaveFlow(EdgeConnection& edge, Ending ending) {
+void Sidecar::LeaveFlow(EdgeConnection& edge, FlowEnd ending) {
   const FlowId flow = std::exchange(edge.flow, 0);
   if (flow == 0) return;
-  book_.Close(flow, ending);
-  send_.Abandon(flow);
-  decisions_.TellGone(flow);
+  flow_recorder_.CloseFlow(flow, ending);
+  attempt_sender_.CancelUnsent(flow);
+  decisions_.OnClientGone(flow);
 }
 
 // Asked right before anything of an attempt goes out.
 const Flow* Sidecar::Wanted(FlowId id) {
   const Flow* flow = flows_.Find(id);
-  return flow != nullptr && !flow->edge->Left() ? flow : nullptr;
+  return flow != nullptr && !flow->edge->ClientGone() ? flow : nullptr;
 }
 
 // Clients that wait in the kernel's queue get their turn once a connection can be spared.
-void Sidecar::OnRested() {
+void Sidecar::OnIdle() {
   if (!accept_waits_ || !listener_.open()) return;
   loop_.Post(alive_, [this] {
     if (accept_waits_ && listener_.open()) AcceptWaiting();
   });
 }
 
-void Sidecar::OnGone(EdgeConnection& edge) {
+void Sidecar::OnClosed(EdgeConnection& edge) {
   const auto it = edges_.find(&edge);
   if (!INVARIANT(it != edges_.end(), counters_)) return;
   std::unique_ptr<EdgeConnection> gone = std::move(it->second);
   edges_.erase(it);
   gone->Close();
   if (gone->flow != 0) counters_.Add("flows_left");
-  LeaveFlow(*gone, Ending::kLeft);
+  LeaveFlow(*gone, FlowEnd::kClientGone);
   loop_.Bury(std::move(gone));
-  OnRested();
+  OnIdle();
   TellDrained();
 }
 
-void Sidecar::SendFlow(FlowId id, ServerId server, std::optional<Span> time_out,
-                       std::optional<Span> send_within) {
+void Sidecar::SendAttempt(FlowId id, ServerId server, std::optional<Span> time_out,
+                          std::optional<Span> send_within) {
   Flow* flow = flows_.Find(id);
-  if (flow != nullptr && flow->edge->Left()) {
+  if (flow != nullptr && flow->edge->ClientGone()) {
     counters_.Add("sends_for_nobody");
-    OnGone(*flow->edge);
+    OnClosed(*flow->edge);
     flow = nullptr;
   }
   const int attempt = flow == nullptr ? 0 : flow->attempts++;
   if (zones_ && zones_->Closed(server)) counters_.Add("sent_to_closed_zone");
-  if (flow != nullptr && flow->taking) flow->deadline = Clock::now() + flow->request.time_left;
-  const auto routed = flow == nullptr ? std::nullopt : route_(*flow, server, time_out, send_within);
-  if (routed) return send_(*flow, attempt, *routed);
-  book_.Attempt({id, attempt, server, Outcome::kNotSent, {}, {}}, flow == nullptr);
+  if (flow != nullptr && flow->receiving_body) flow->deadline = Clock::now() + flow->request.time_left;
+  const auto routed = flow == nullptr ? std::nullopt : attempt_router_(*flow, server, time_out, send_within);
+  if (routed) return attempt_sender_(*flow, attempt, *routed);
+  flow_recorder_.ReportAttempt({id, attempt, server, Outcome::kNotSent, {}, {}}, flow == nullptr);
 }
 
 void Sidecar::AttemptEnded(AttemptResult result) {
   Flow* flow = flows_.Find(result.flow);
   Heard(result.server, result.outcome);
-  if (zones_) zones_->Ended(result.server, result.outcome, result.took);
-  book_.Note(flow, result.outcome);
-  if (flow != nullptr && result.outcome == Outcome::kUnfit) flow->unfit = result.answer.status;
+  if (zones_) zones_->Ended(result.server, result.outcome, result.elapsed);
+  flow_recorder_.RecordAttemptEnd(flow, result.outcome);
+  if (flow != nullptr && result.outcome == Outcome::kUnfit) flow->unfit_status = result.response.status;
   const bool served = flow != nullptr && result.outcome == Outcome::kOk;
-  const bool begun = flow != nullptr && flow->passing;
+  const bool begun = flow != nullptr && flow->streaming_response;
   if (begun) {
-    book_.Close(result.flow, served ? relay_.Finish(*flow) : relay_.Break(*flow));
+    flow_recorder_.CloseFlow(result.flow, served ? response_writer_.FinishStreaming(*flow)
+                                                 : response_writer_.AbortStreaming(*flow));
   } else if (served) {
-    book_.Close(result.flow, relay_.Served(*flow, result.answer, Leaves(*flow)));
+    flow_recorder_.CloseFlow(result.flow, response_writer_.SendServed(*flow, result.response, Leaves(*flow)));
   }
-  book_.Attempt(result, served || begun || flow == nullptr);
+  flow_recorder_.ReportAttempt(result, served || begun || flow == nullptr);
 }
 
 void Sidecar::AnswerBegins(FlowId id, int attempt, const Message& head) {
   Flow* flow = flows_.Find(id);
-  if (flow == nullptr) return send_.Cancel(id, attempt);
-  decisions_.TellAnswerBegun(id, attempt);
-  if (!relay_.Begin(*flow, head, Leaves(*flow))) send_.Pause(*flow);
+  if (flow == nullptr) return attempt_sender_.Cancel(id, attempt);
+  decisions_.OnResponseStart(id, attempt);
+  if (!response_writer_.BeginStreaming(*flow, head, Leaves(*flow))) attempt_sender_.PauseResponse(*flow);
 }
 
 void Sidecar::AnswerPiece(FlowId id, int attempt, std::string piece) {
   Flow* flow = flows_.Find(id);
-  if (flow == nullptr) return send_.Cancel(id, attempt);
-  if (!relay_.Piece(*flow, std::move(piece))) send_.Pause(*flow);
+  if (flow == nullptr) return attempt_sender_.Cancel(id, attempt);
+  if (!response_writer_.StreamData(*flow, std::move(piece))) attempt_sender_.PauseResponse(*flow);
 }
 
-void Sidecar::TurnDown(FlowId id, std::chrono::microseconds retry_after) {
+void Sidecar::RejectFlow(FlowId id, std::chrono::microseconds retry_after) {
   Flow* flow = flows_.Find(id);
   if (flow == nullptr) return;
-  book_.Close(id, relay_.TurnDown(*flow, retry_after, Leaves(*flow)));
+  flow_recorder_.CloseFlow(id, response_writer_.SendRejection(*flow, retry_after, Leaves(*flow)));
 }
 
 void Sidecar::FailFlow(FlowId id) {
   Flow* flow = flows_.Find(id);
   if (flow == nullptr) return;
-  book_.Close(id, relay_.Failed(*flow, Leaves(*flow)));
+  flow_recorder_.CloseFlow(id, response_writer_.SendFailure(*flow, Leaves(*flow)));
 }
 
 // A source may keep servers against its own list for as long as they can be reached.
@@ -384,26 +391,26 @@
   Flow* flow = flows_.Find(id);
   if (flow == nullptr) return;
   counters_.Add("flows_last_call");
-  book_.Close(id, relay_.Failed(*flow, Leaves(*flow)));
-  decisions_.TellGone(id);
+  flow_recorder_.CloseFlow(id, response_writer_.SendFailure(*flow, Leaves(*flow)));
+  decisions_.OnClientGone(id);
 }
 
 void Sidecar::CheckServer(ServerId server) {
   Check(server, [this, server](Outcome outcome, const std::optional<LoadReport>& load) {
-    decisions_.TellCheck(server, outcome, load);
+    decisions_.OnCheckResult(server, outcome, load);
   });
 }
 
 void Sidecar::Check(ServerId server, Checked done) {
   const ServerRecord* record = entry_.Find(server);
   counters_.Add("checks_sent");
-  if (record == nullptr || !route_.Open(server)) return done(Outcome::kNotSent, {});
+  if (record == nullptr || !attempt_router_.AcceptsNewWork(server)) return done(Outcome::kNotSent, {});
   ExchangeEvents events;
   events.request = [this, server, to = PrintAddress(record->address)](Span) {
-    return route_.Open(server) ? std::optional(platform_.CheckRequest(to)) : std::nullopt;
+    return attempt_router_.AcceptsNewWork(server) ? std::optional(platform_.CheckRequest(to)) : std::nullopt;
   };
   events.done = [this, server, done](const ExchangeEnd& end) {
-    const Outcome outcome = SendOut::OutcomeOf(end);
+    const Outcome outcome = AttemptSender::OutcomeOf(end);
     const bool answered = end.how == ExchangeEnd::How::kAnswered;
     Heard(server, outcome);
     if (zones_) zones_->Probed(server, outcome);  // whoever asked
@@ -415,7 +422,7 @@
 void Sidecar::Tick() {
   servers_.Sweep();
   entry_.Forget(Clock::now() - kForget);
-  OnRested();
+  OnIdle();
   tick_.Start(kTick);
 }
 
@@ -426,8 +433,8 @@
 void Sidecar::TakeZones(const std::string& text) { zones_->Take(text); }
 
 Figures Sidecar::CurrentFigures() const {
-  Figures figures = tally_.figures();
-  figures.concurrent = flows_.taken();
+  Figures figures = metrics_.figures();
+  figures.concurrent = flows_.fully_received();
   figures.targets = entry_.listed();
   figures.targets_disabled = static_cast<std::uint64_t>(decisions_.Avoided());
   return figures;
@@ -453,7 +460,7 @@
 void Sidecar::CloseIdleEdges() {
   std::vector<EdgeConnection*> idle;
   for (const auto& [edge, owned] : edges_) {
-    if (edge->idle() && Clock::now() - edge->rested() >= kStillIdle) idle.push_back(edge);
+    if (edge->idle() && Clock::now() - edge->last_activity() >= kStillIdle) idle.push_back(edge);
   }
   for (EdgeConnection* edge : idle) edge->CloseWhenIdle();
   idle_timer_.Start(kIdleSweep);
@@ -471,7 +478,7 @@
   if (replaced()) listener_.Close();  // what waits in its queue is the other process's
   const Time now = Clock::now();
   take_until_ = now + TakeTime(config_.settings);
-  admit_.AnswerAllBy(now + AnswerTime(config_.settings));
+  flow_admission_.SetFinalDeadline(now + AnswerTime(config_.settings));
   close_timer_.Start(ServeOn(config_.settings));
 }
 
--- a/src/sidecar/sidecar.h
+++ b/src/sidecar/sidecar.h
@@ -32,7 +32,7 @@
 
 namespace umberdyke::net {
 
-class Sidecar : public EdgeOwner, public Actor, public ConsoleOwner {
+class Sidecar : public EdgeOwner, public ActionHandler, public ConsoleOwner {
  public:
   // Throws ConfigError where it cannot listen or the module finds the settings senseless.
   Sidecar(Loop& loop, const Config& config, std::shared_ptr<log::Log> log);
@@ -59,32 +59,32 @@
   std::string ZoneLines() const override { return zones_ ? zones_->Lines() : ""; }
 
   void OnRequest(EdgeConnection& edge, Message message) override;
-  void OnLongRequest(EdgeConnection& edge, Message head) override;
-  void OnBody(EdgeConnection& edge) override;
-  void OnRoom(EdgeConnection& edge) override;
-  void OnBadInput(EdgeConnection& edge, Parsed why) override;
-  void OnSlowInput(EdgeConnection& edge) override;
-  void OnRested() override;
-  void OnGone(EdgeConnection& edge) override;
+  void OnStreamingRequest(EdgeConnection& edge, Message head) override;
+  void OnBodyData(EdgeConnection& edge) override;
+  void OnWritable(EdgeConnection& edge) override;
+  void OnInvalidRequest(EdgeConnection& edge, Parsed why) override;
+  void OnRequestTimeout(EdgeConnection& edge) override;
+  void OnIdle() override;
+  void OnClosed(EdgeConnection& edge) override;
 
-  void SendFlow(FlowId flow, ServerId server, std::optional<Span> time_out,
-                std::optional<Span> send_within) override;
-  void CancelAttempt(FlowId flow, int attempt) override { send_.Cancel(flow, attempt); }
-  void TurnDown(FlowId flow, std::chrono::microseconds retry_after) override;
+  void SendAttempt(FlowId flow, ServerId server, std::optional<Span> time_out,
+                   std::optional<Span> send_within) override;
+  void CancelAttempt(FlowId flow, int attempt) override { attempt_sender_.Cancel(flow, attempt); }
+  void RejectFlow(FlowId flow, std::chrono::microseconds retry_after) override;
   void FailFlow(FlowId flow) override;
-  void Watch(bool on) override { source_->Watch(on); }
+  void WatchServerList(bool on) override { source_->Watch(on); }
   void CheckServer(ServerId server) override;
   using Checked = std::function<void(Outcome outcome, const std::optional<LoadReport>& load)>;
   void Check(ServerId server, Checked done);
-  void CloseIdle(ServerId server) override { servers_.CloseIdle(server); }
-  void Say(const std::string& text) override;
+  void CloseIdleConnections(ServerId server) override { servers_.CloseIdle(server); }
+  void LogModuleText(const std::string& text) override;
 
   void Told(const ListChange& change);
   void AcceptWaiting();
   void LetWait();
   bool ShedOldestEdge();
   void Take(EdgeConnection& edge, Message message, bool long_body);
-  void LeaveFlow(EdgeConnection& edge, Ending ending);
+  void LeaveFlow(EdgeConnection& edge, FlowEnd ending);
   const Flow* Wanted(FlowId flow);
   void AnswerBegins(FlowId flow, int attempt, const Message& head);
   void AnswerPiece(FlowId flow, int attempt, std::string piece);
@@ -106,7 +106,7 @@
   // not.
   bool Leaves(const EdgeConnection& edge) const {
     if (life_.state() == Life::State::kDrained) return true;
-    return (closing_ || replaced()) && (!edge.HasMore() || Clock::now() >= take_until_);
+    return (closing_ || replaced()) && (!edge.HasPipelinedInput() || Clock::now() >= take_until_);
   }
   bool Leaves(const Flow& flow) const { return Leaves(*flow.edge); }
   // Told to end while another process of this sidecar takes what comes.
@@ -121,20 +121,20 @@
   Counters counters_;
   Life life_;
   const Platform platform_;
-  Tally tally_;
-  PassingRoom passing_;
+  FlowMetrics metrics_;
+  StreamingBufferLimit streaming_limit_;
   FlowTable flows_;
   ServiceEntry entry_;
   std::unique_ptr<MemberSource> source_;
   std::unique_ptr<PeerExchange> peers_;  // where the settings allow it
   RealServers servers_;
   Decisions decisions_;
-  const TakeIn take_in_;
-  Admit admit_;
-  const Route route_;
-  SendOut send_;
-  const Relay relay_;
-  const Book book_;
+  const RequestIntake request_intake_;
+  FlowAdmission flow_admission_;
+  const AttemptRouter attempt_router_;
+  AttemptSender attempt_sender_;
+  const ResponseWriter response_writer_;
+  const FlowRecorder flow_recorder_;
   Listener listener_;
   std::unique_ptr<ZoneWatch> zones_;  // where there is a plan
   std::unique_ptr<Console> console_;
--- a/tests/passing/passing_test.cpp
+++ b/tests/passing/passing_test.cpp
@@ -348,17 +348,17 @@
 // Guards against windows that together hold more than they may.
 TEST_CASE("the windows of all transfers hold a quarter of the memory, half of that where it is shared",
           "[passing]") {
-  PassingRoom room(24 << 20);
-  CHECK(room.window() == PassingRoom::kLargestWindow);
-  for (int i = 0; i < 400; ++i) room.Begin();
-  CHECK(room.window() * 400 <= (24u << 20) / 4);
-  const size_t alone = room.window();
-  room.Share(true);
-  CHECK(room.window() <= alone);
-  for (int i = 0; i < 10'000; ++i) room.Begin();
-  CHECK(room.window() == PassingRoom::kSmallestWindow);
-  for (int i = 0; i < 20'000; ++i) room.End();
-  CHECK(room.transfers() == 0);
+  StreamingBufferLimit limit(24 << 20);
+  CHECK(limit.window() == StreamingBufferLimit::kMaxWindow);
+  for (int i = 0; i < 400; ++i) limit.BeginTransfer();
+  CHECK(limit.window() * 400 <= (24u << 20) / 4);
+  const size_t alone = limit.window();
+  limit.SetShared(true);
+  CHECK(limit.window() <= alone);
+  for (int i = 0; i < 10'000; ++i) limit.BeginTransfer();
+  CHECK(limit.window() == StreamingBufferLimit::kMinWindow);
+  for (int i = 0; i < 20'000; ++i) limit.EndTransfer();
+  CHECK(limit.transfers() == 0);
 }
 
 }  // namespace
