--- a/examples/party.h
+++ b/examples/party.h
@@ -23,9 +23,9 @@
     void OnData(std::string_view bytes) override {
       while (!bytes.empty() && stream.open()) {
         size_t used = 0;
-        const Parsed parsed = parser_.Feed(bytes, &used);
+        const ParseResult parsed = parser_.Feed(bytes, &used);
         bytes.remove_prefix(used);
-        if (parsed != Parsed::kComplete) return;
+        if (parsed != ParseResult::kComplete) return;
         ++party_.requests;
         last = parser_.Take();
         if (party_.script) party_.script(*this);
@@ -39,7 +39,7 @@
       if (stream.open()) stream.Write(bytes);
     }
     void Answer(int status, const std::string& body, const std::vector<Header>& headers = {}) {
-      Reply(WriteAnswer(status, headers, body, true));
+      Reply(WriteResponse(status, headers, body, true));
     }
     Message last;
     bool ended = false;
--- a/src/agent/census.cpp
+++ b/src/agent/census.cpp
@@ -62,7 +62,7 @@
     if (entry.unknown_steps > 0 && state.size() < kMostRemembered) state[entry.name] = entry.unknown_steps;
   }
   result.state = state.dump();
-  sidecars_.Order("census", work, fleet::Print(census, net::kLongestNote), std::move(may_act),
+  sidecars_.Order("census", work, fleet::Print(census, net::kMaxNoteBytes), std::move(may_act),
                   std::move(result), std::move(done));
 }
 
--- a/src/agent/console_client.cpp
+++ b/src/agent/console_client.cpp
@@ -40,9 +40,9 @@
   }
   void OnData(std::string_view bytes) override {
     size_t used = 0;
-    const net::Parsed parsed = parser_.Feed(bytes, &used);
-    if (parsed == net::Parsed::kMore) return;
-    if (parsed != net::Parsed::kComplete) return Fail();
+    const net::ParseResult parsed = parser_.Feed(bytes, &used);
+    if (parsed == net::ParseResult::kIncomplete) return;
+    if (parsed != net::ParseResult::kComplete) return Fail();
     net::Message answer = parser_.Take();
     owner_.End(this, {answer.status, std::move(answer.body)});
   }
--- a/src/agent/hands.cpp
+++ b/src/agent/hands.cpp
@@ -175,7 +175,7 @@
                                                                               const NodeStat& stat) {
     if (!still()) return;
     rollout::Outside& seen = round->outside[permit.unit];
-    const auto node = rc == nodes::kOk ? net::ReadServerNode(text) : std::nullopt;
+    const auto node = rc == nodes::kOk ? net::ParseServerNode(text) : std::nullopt;
     if (!node) return Over(round);
     seen.listed = true;
     seen.draining = node->draining;
@@ -184,11 +184,11 @@
     // What was told to leave has its time first; then nothing may be under way.
     Waiting& waiting = waiting_[permit.unit];
     if (waiting.leaving_since == net::Time()) waiting.leaving_since = Clock::now();
-    if (Since(waiting.leaving_since) < net::kDrainTime) return Over(round);
+    if (Since(waiting.leaving_since) < net::kServerDrainTime) return Over(round);
     consoles_.Call(node->address, net::LoadRequest(), kCallTime,
                    [this, still, round, unit = permit.unit](ConsoleAnswer answer) {
                      if (!still()) return;
-                     round->outside[unit].at_rest = answer.status == 0 || net::SaysIdle(answer.body);
+                     round->outside[unit].at_rest = answer.status == 0 || net::ReportsIdle(answer.body);
                      Over(round);
                    });
   });
@@ -293,11 +293,11 @@
       });
     case Kind::kEnd:
       Say(Event::kUnitGoes, permit, "ends the process of life " + step.life.substr(0, 8));
-      return call(net::EndRequest(step.life));
+      return call(net::EndProcessRequest(step.life));
     case Kind::kPutAside:
-      return call(net::PlainRequest(net::ConsoleCall::kDrain));
+      return call(net::EndpointRequest(net::ConsoleEndpoint::kDrain));
     case Kind::kTakeBack:
-      return call(net::PlainRequest(net::ConsoleCall::kActivate));
+      return call(net::EndpointRequest(net::ConsoleEndpoint::kActivate));
     case Kind::kKill:
       counters_.Add("processes_killed");
       Say(Event::kUnitGoes, permit, "kills the process that it started and that does not serve");
--- a/src/agent/rollout.cpp
+++ b/src/agent/rollout.cpp
@@ -225,7 +225,7 @@
     Text(
         reading, server.nodes + "/" + server.name,
         [this, reading, next, name = server.name](bool there, const std::string& text, const NodeStat& stat) {
-          const auto node = there ? net::ReadServerNode(text) : std::nullopt;
+          const auto node = there ? net::ParseServerNode(text) : std::nullopt;
           rollout::Seen& seen = reading->look.sights[name];
           seen.heard = true;  // the service answered; without a node it is down
           seen.able = node && !node->draining;
--- a/src/agent/sites.cpp
+++ b/src/agent/sites.cpp
@@ -38,7 +38,7 @@
     report.zone = static_cast<int>(std::find(zones.begin(), zones.end(), sidecar.zone) - zones.begin());
     report.cut_off = said->Text("zones_cut_off") != "0";
     for (const std::string& zone : zones) {
-      const std::string plain = net::PlainName(zone);
+      const std::string plain = net::EscapeMetricName(zone);
       // What it has from an owner's word is no opinion: a word must not prove itself.
       const bool told = said->Number("zone_by_word." + plain) == 1;
       report.states.push_back(told ? std::nullopt : std::optional(StateOf(said->Text("zone." + plain))));
--- a/src/console/console.cpp
+++ b/src/console/console.cpp
@@ -36,11 +36,11 @@
   void OnData(std::string_view bytes) override {
     if (answered_) return;  // one call a connection: what follows is read and thrown away
     size_t used = 0;
-    const Parsed parsed = parser_.Feed(bytes, &used);
-    if (parsed == Parsed::kMore) return;
-    if (parsed == Parsed::kComplete) return Answer(console_.AnswerTo(parser_.Take()));
+    const ParseResult parsed = parser_.Feed(bytes, &used);
+    if (parsed == ParseResult::kIncomplete) return;
+    if (parsed == ParseResult::kComplete) return Answer(console_.AnswerTo(parser_.Take()));
     console_.counters_.Add("console_malformed");
-    Answer(NoCallAnswer(NoCallFor(parsed)));
+    Answer(ConsoleErrorResponse(ConsoleErrorFor(parsed)));
   }
   void OnEnd() override { console_.Leave(*this); }
   void OnWritten(bool ok) override {
@@ -55,9 +55,9 @@
   }
 
   void Late() {
-    if (answered_ || !parser_.begun()) return console_.Leave(*this);
+    if (answered_ || !parser_.message_started()) return console_.Leave(*this);
     console_.counters_.Add("console_slow");
-    Answer(NoCallAnswer(NoCallFor(Parsed::kMore)));
+    Answer(ConsoleErrorResponse(ConsoleErrorFor(ParseResult::kIncomplete)));
   }
 
   Console& console_;
@@ -101,46 +101,47 @@
 }
 
 std::string Console::AnswerTo(const Message& message) {
-  auto call = ReadCall(message);
-  if (const auto* none = std::get_if<NoCall>(&call)) {
+  auto call = ParseConsoleRequest(message);
+  if (const auto* none = std::get_if<ConsoleError>(&call)) {
     counters_.Add("console_bad_calls");
-    return NoCallAnswer(*none);
+    return ConsoleErrorResponse(*none);
   }
   counters_.Add("console_calls");
   if (auto* order = std::get_if<FleetOrder>(&call)) return notes_.Take(std::move(*order));
-  if (const auto* note = std::get_if<FleetNote>(&call)) return notes_.Show(*note);
-  if (const auto* end = std::get_if<EndLife>(&call)) return End(*end);
-  return AnswerTo(std::get<ConsoleCall>(call));
+  if (const auto* note = std::get_if<FleetNoteRequest>(&call)) return notes_.Show(*note);
+  if (const auto* end = std::get_if<EndProcess>(&call)) return End(*end);
+  return AnswerTo(std::get<ConsoleEndpoint>(call));
 }
 
 // The end of this process and of no other: whoever asked knew its life.
-std::string Console::End(const EndLife& end) {
-  if (end.life != notes_.life()) return CallAnswer(412, "this is another life\n");
+std::string Console::End(const EndProcess& end) {
+  if (end.life != notes_.life()) return ConsoleResponse(412, "this is another life\n");
   counters_.Add("console_ends");
   std::raise(SIGTERM);
-  return CallAnswer(200, "ending\n");
+  return ConsoleResponse(200, "ending\n");
 }
 
-std::string Console::AnswerTo(ConsoleCall call) {
+std::string Console::AnswerTo(ConsoleEndpoint call) {
   switch (call) {
-    case ConsoleCall::kReady:
-      return owner_.ReadyToServe() ? CallAnswer(200, "ready\n") : CallAnswer(503, "not ready\n");
-    case ConsoleCall::kMetrics:
-      return CallAnswer(200, PrintFigures(owner_.CurrentFigures()));
-    case ConsoleCall::kFleet:
-      return CallAnswer(200, "name=" + PlainName(identity_.name) +
-                                 "\nversion=" UMBERDYKE_VERSION "\ntier=" + std::to_string(identity_.tier) +
-                                 "\nstate=" + std::string(owner_.StateName()) + "\nrelease=" +
-                                 PlainName(identity_.release) + "\nup_ms=" + std::to_string(UpMs()) +
-                                 "\nresident_kb=" + std::to_string(ResidentBytes() / 1024) + "\n" +
-                                 notes_.Lines() + owner_.ZoneLines() + PrintFigures(owner_.CurrentFigures()) +
-                                 PrintSlower(owner_.CurrentFigures()));
-    case ConsoleCall::kDrain:
-      return owner_.SendClientsAway() ? CallAnswer(200, "drained\n") : CallAnswer(409, "it is ending\n");
-    case ConsoleCall::kActivate:
+    case ConsoleEndpoint::kReady:
+      return owner_.ReadyToServe() ? ConsoleResponse(200, "ready\n") : ConsoleResponse(503, "not ready\n");
+    case ConsoleEndpoint::kMetrics:
+      return ConsoleResponse(200, FormatMetrics(owner_.CurrentFigures()));
+    case ConsoleEndpoint::kFleet:
+      return ConsoleResponse(
+          200, "name=" + EscapeMetricName(identity_.name) + "\nversion=" UMBERDYKE_VERSION "\ntier=" +
+                   std::to_string(identity_.tier) + "\nstate=" + std::string(owner_.StateName()) +
+                   "\nrelease=" + EscapeMetricName(identity_.release) + "\nup_ms=" + std::to_string(UpMs()) +
+                   "\nresident_kb=" + std::to_string(ResidentBytes() / 1024) + "\n" + notes_.Lines() +
+                   owner_.ZoneLines() + FormatMetrics(owner_.CurrentFigures()) +
+                   FormatSlower(owner_.CurrentFigures()));
+    case ConsoleEndpoint::kDrain:
+      return owner_.SendClientsAway() ? ConsoleResponse(200, "drained\n")
+                                      : ConsoleResponse(409, "it is ending\n");
+    case ConsoleEndpoint::kActivate:
       break;
   }
-  return owner_.TakeClientsBack() ? CallAnswer(200, "active\n") : CallAnswer(409, "it is ending\n");
+  return owner_.TakeClientsBack() ? ConsoleResponse(200, "active\n") : ConsoleResponse(409, "it is ending\n");
 }
 
 std::int64_t Console::UpMs() const {
--- a/src/console/console.h
+++ b/src/console/console.h
@@ -23,7 +23,7 @@
  public:
   virtual bool ReadyToServe() const = 0;
   virtual std::string_view StateName() const = 0;  // one word
-  virtual Figures CurrentFigures() const = 0;
+  virtual ConsoleMetrics CurrentFigures() const = 0;
   // Clients are to go elsewhere, and may come back. False: it can't be done any more.
   virtual bool SendClientsAway() = 0;
   virtual bool TakeClientsBack() = 0;
@@ -60,8 +60,8 @@
   class Caller;
   void Come();
   std::string AnswerTo(const Message& message);
-  std::string AnswerTo(ConsoleCall call);
-  std::string End(const EndLife& end);
+  std::string AnswerTo(ConsoleEndpoint call);
+  std::string End(const EndProcess& end);
   std::int64_t UpMs() const;
   void Leave(Caller& caller);
   void MakeRoom();
--- a/src/console/fleet_notes.cpp
+++ b/src/console/fleet_notes.cpp
@@ -34,11 +34,12 @@
 
 std::string FleetNotes::Take(FleetOrder order) {
   const std::string what = "order " + std::to_string(order.step) + " of term " + std::to_string(order.term) +
-                           " for " + PlainName(order.duty);
+                           " for " + EscapeMetricName(order.duty);
   const auto refuse = [&](const char* counter, int status, const std::string& why, const Note* note) {
     counters_.Add(counter);
-    log_.Say(log::Event::kOrderRefused, what + " is refused: " + why,
-             {{"duty", PlainName(order.duty)}, {"term", order.term}, {"step", order.step}, {"why", why}});
+    log_.Say(
+        log::Event::kOrderRefused, what + " is refused: " + why,
+        {{"duty", EscapeMetricName(order.duty)}, {"term", order.term}, {"step", order.step}, {"why", why}});
     return Answer(status, why, note);
   };
   if (application_.empty() || order.application != application_) {
@@ -84,18 +85,18 @@
     body +=
         "term=" + std::to_string(note->fence.term()) + "\nstep=" + std::to_string(note->fence.step()) + "\n";
   }
-  return CallAnswer(status, body);
+  return ConsoleResponse(status, body);
 }
 
-std::string FleetNotes::Show(const FleetNote& which) const {
+std::string FleetNotes::Show(const FleetNoteRequest& which) const {
   const auto it = notes_.find(which.duty);
-  if (it == notes_.end()) return CallAnswer(404, "an unknown duty\n");
-  if (it->second.taken == Time()) return CallAnswer(404, "no order has been taken in this life\n");
-  return CallAnswer(200, it->second.text);
+  if (it == notes_.end()) return ConsoleResponse(404, "an unknown duty\n");
+  if (it->second.taken == Time()) return ConsoleResponse(404, "no order has been taken in this life\n");
+  return ConsoleResponse(200, it->second.text);
 }
 
 std::string FleetNotes::Lines() const {
-  std::string out = "application=" + PlainName(application_) + "\nlife=" + life_ + "\n";
+  std::string out = "application=" + EscapeMetricName(application_) + "\nlife=" + life_ + "\n";
   for (const auto& [duty, note] : notes_) {
     out += "term." + duty + "=" + std::to_string(note.fence.term()) + "\nstep." + duty + "=" +
            std::to_string(note.fence.step()) + "\n";
--- a/src/console/fleet_notes.h
+++ b/src/console/fleet_notes.h
@@ -35,7 +35,7 @@
   // The whole answer: 200 taken, or taken before; 404 an unknown duty; 409 of another application, of an
   // older term or step, or a text that cannot be used; 412 made for another life of this process.
   std::string Take(FleetOrder order);
-  std::string Show(const FleetNote& note) const;
+  std::string Show(const FleetNoteRequest& note) const;
   const std::string& life() const { return life_; }
   // Lines of "name=value": application, life, and the term, step and age of each duty's note.
   std::string Lines() const;
--- a/src/edge/edge_connection.cpp
+++ b/src/edge/edge_connection.cpp
@@ -26,7 +26,7 @@
     : loop_(loop), owner_(owner), passing_(passing), stream_(loop, this), patience_(loop, [this] {
         Late();
       }) {
-  parser_.PassLongBodies();
+  parser_.StreamLongBodies();
 }
 
 EdgeConnection::~EdgeConnection() { EndPassing(); }
@@ -73,22 +73,22 @@
 void EdgeConnection::Advance() {
   const bool takes = state_ == State::kReading || state_ == State::kTaking;
   if (!takes || !stream_.open() || input_.empty()) return;
-  const bool had_begun = parser_.begun();
-  const bool had_head = parser_.head_done();
+  const bool had_begun = parser_.message_started();
+  const bool had_head = parser_.head_complete();
   size_t used = 0;
-  const Parsed parsed = parser_.Feed(input_, &used);
+  const ParseResult parsed = parser_.Feed(input_, &used);
   input_.erase(0, used);
-  if (parsed == Parsed::kMore || parsed == Parsed::kComplete) {
-    if (state_ == State::kTaking || parser_.is_long()) return TakeMore(parsed);
+  if (parsed == ParseResult::kIncomplete || parsed == ParseResult::kComplete) {
+    if (state_ == State::kTaking || parser_.is_streaming()) return TakeMore(parsed);
   }
-  if (parsed == Parsed::kMore) {
-    if (parser_.head_done() && !had_head) {
+  if (parsed == ParseResult::kIncomplete) {
+    if (parser_.head_complete() && !had_head) {
       slowest_ = Clock::now() + kBodyBegins;
       if (parser_.message().Find("Expect") != nullptr) Continue();
     }
-    if (parser_.head_done()) {
+    if (parser_.head_complete()) {
       Credit(used);
-    } else if (!had_begun && parser_.begun() && answered_) {
+    } else if (!had_begun && parser_.message_started() && answered_) {
       patience_.Start(kSlowest);
     }
     if (rests_no_more_ && idle() && stream_.Quiet()) Linger(kLinger);
@@ -98,7 +98,7 @@
   patience_.Stop();
   waited_ = false;
   state_ = State::kBusy;
-  if (parsed == Parsed::kComplete) {
+  if (parsed == ParseResult::kComplete) {
     owner_.OnRequest(*this, parser_.Take());
   } else {
     closing_ = true;
@@ -107,7 +107,7 @@
 }
 
 // A long body: what one read gave is kept until it is taken, and no more is read over a window.
-void EdgeConnection::TakeMore(Parsed parsed) {
+void EdgeConnection::TakeMore(ParseResult parsed) {
   const bool first = state_ != State::kTaking;
   const size_t before = body_.size();
   Message head;
@@ -119,8 +119,8 @@
     passing_.BeginTransfer();
     stream_.KeepQueueShort();
   }
-  body_ += parser_.TakePiece();
-  if (parsed == Parsed::kComplete) {
+  body_ += parser_.TakeBodyPart();
+  if (parsed == ParseResult::kComplete) {
     body_whole_ = true;
     patience_.Stop();
     parser_.Take();
@@ -193,20 +193,20 @@
 
 bool EdgeConnection::SendResponseData(std::string piece) {
   if (!stream_.open()) return false;
-  Write(WritePiece(std::move(piece), framing_));
+  Write(WriteBodyPart(std::move(piece), framing_));
   return stream_.unwritten() < passing_.window();
 }
 
 void EdgeConnection::EndResponse() {
   if (!stream_.open()) return;
   ending_ = true;
-  const std::string last = WriteLastPiece(framing_);
+  const std::string last = WriteBodyEnd(framing_);
   if (!last.empty()) Write(last);
   if (stream_.unwritten() == 0) Finish();
 }
 
 void EdgeConnection::AbortResponse() {
-  const bool tells_end = framing_.chunked || framing_.length;
+  const bool tells_end = framing_.chunked || framing_.content_length;
   if (!tells_end) stream_.Reset();
   owner_.OnClosed(*this);
 }
--- a/src/edge/edge_connection.h
+++ b/src/edge/edge_connection.h
@@ -24,7 +24,7 @@
   // More of the answer that is being passed on may be written.
   virtual void OnWritable(EdgeConnection& edge) = 0;
   // The input is no request; one answer is due, after which the connection closes.
-  virtual void OnInvalidRequest(EdgeConnection& edge, Parsed why) = 0;
+  virtual void OnInvalidRequest(EdgeConnection& edge, ParseResult why) = 0;
   virtual void OnRequestTimeout(EdgeConnection& edge) = 0;
   // It has answered and waits for the next request; it may be closed from here.
   virtual void OnIdle() = 0;
@@ -65,14 +65,14 @@
     patience_.Stop();
     stream_.Close();
   }
-  bool idle() const { return state_ == State::kReading && !parser_.begun() && input_.empty(); }
+  bool idle() const { return state_ == State::kReading && !parser_.message_started() && input_.empty(); }
   // Idle after an answer, so that it may be closed at no cost but a connect.
   bool idle_after_response() const { return answered_ && idle(); }
   bool NoUnreadInput() const { return stream_.Quiet(); }  // and nothing of a next request waits unread
   // Has brought no whole request though it had the time for it: the first to be closed under pressure.
   bool first_request_overdue() const;
   bool lingering() const { return state_ == State::kLingering; }  // has ended, and waits for the other side
-  bool has_started_request() const { return answered_ || parser_.begun(); }
+  bool has_started_request() const { return answered_ || parser_.message_started(); }
   Time last_activity() const { return rested_; }  // since when nothing has come from it
   std::uint64_t flow = 0;                         // the owner's note of the request that is out
 
@@ -83,7 +83,7 @@
   void OnEnd() override { owner_.OnClosed(*this); }
   void OnWritten(bool ok) override;
   void Advance();
-  void TakeMore(Parsed parsed);
+  void TakeMore(ParseResult parsed);
   void Credit(size_t bytes);
   void Continue();
   void EndPassing();
--- a/src/flow/admit.cpp
+++ b/src/flow/admit.cpp
@@ -17,14 +17,14 @@
   if (flows_.Has(request.id)) {
     counters_.Add("requests_of_open_id");
     refused_(request.request_class);
-    edge.SendResponse(Platform::BadRequestAnswer({409, "a request with this id is open"}), false);
+    edge.SendResponse(Platform::BadRequestResponse({409, "a request with this id is open"}), false);
     return nullptr;
   }
   Flow& flow = flows_.Add(std::move(request));
   flow.edge = &edge;
   edge.flow = flow.id;
   flow.last_call = std::make_unique<Timer>(loop_, [this, id = flow.id] { last_call_(id); });
-  flow.receiving_body = flow.request.long_body;
+  flow.receiving_body = flow.request.streaming_body;
   flow.deadline = Clock::now() + flow.request.time_left;
   if (!flow.receiving_body) OnBodyReceived(flow);
   return &flow;
--- a/src/flow/book.cpp
+++ b/src/flow/book.cpp
@@ -51,7 +51,7 @@
   report.outcome = result.outcome;
   report.elapsed = result.elapsed;
   report.settled = settled;
-  report.load = platform_.ReportIn(result.response);
+  report.load = platform_.ParseLoadReport(result.response);
   decisions_.OnAttemptEnd(report);
 }
 
--- a/src/flow/relay.cpp
+++ b/src/flow/relay.cpp
@@ -13,7 +13,7 @@
 FlowEnd ResponseWriter::SendServed(Flow& flow, const Message& answer, bool draining) const {
   counters_.Add("flows_served");
   const bool keep = KeepAlive(flow, draining);
-  Write(flow, platform_.ServedAnswer(answer, keep), keep);
+  Write(flow, platform_.SuccessResponse(answer, keep), keep);
   return FlowEnd::kServed;
 }
 
@@ -23,9 +23,9 @@
   flow.state = Flow::State::kAnswered;
   flow.streaming_response = true;
   flow.last_call->Stop();
-  const Framing framing = Platform::FramingOf(head, flow.request.message.takes_chunks);
-  const bool keep = KeepAlive(flow, draining) && (framing.length || framing.chunked);
-  return flow.edge->BeginResponse(platform_.ServedHead(head, framing, keep), framing, keep);
+  const Framing framing = Platform::FramingOf(head, flow.request.message.accepts_chunked);
+  const bool keep = KeepAlive(flow, draining) && (framing.content_length || framing.chunked);
+  return flow.edge->BeginResponse(platform_.SuccessHead(head, framing, keep), framing, keep);
 }
 
 FlowEnd ResponseWriter::FinishStreaming(Flow& flow) const {
@@ -54,7 +54,7 @@
   if (!INVARIANT(MayReject(flow), counters_)) return SendFailure(flow, draining);
   counters_.Add("flows_turned_down");
   const bool keep = KeepAlive(flow, draining);
-  Write(flow, Platform::TurnDownAnswer(retry_after, keep), keep);
+  Write(flow, Platform::RejectionResponse(retry_after, keep), keep);
   return FlowEnd::kRejected;
 }
 
@@ -63,7 +63,8 @@
   const bool keep = KeepAlive(flow, draining);
   const bool in_time = Clock::now() < flow.deadline - std::chrono::milliseconds(20);
   const bool unfit = flow.unfit_status != 0;
-  Write(flow, unfit ? Platform::UnfitAnswer(flow.unfit_status, keep) : Platform::FailedAnswer(in_time, keep),
+  Write(flow,
+        unfit ? Platform::UnfitResponse(flow.unfit_status, keep) : Platform::FailureResponse(in_time, keep),
         keep);
   return FlowEnd::kFailed;
 }
--- a/src/flow/send.h
+++ b/src/flow/send.h
@@ -59,7 +59,7 @@
   // The client has gone: attempts that have not left whole never do.
   void CancelUnsent(FlowId flow);
   size_t open() const { return attempts_.size(); }
-  static Outcome OutcomeOf(const ExchangeEnd& end);
+  static Outcome OutcomeOf(const ExchangeResult& end);
 
  private:
   struct Attempt {
--- a/src/flow/take_in.cpp
+++ b/src/flow/take_in.cpp
@@ -5,7 +5,7 @@
 std::optional<FlowRequest> RequestIntake::operator()(EdgeConnection& edge, Message message, bool long_body,
                                                      bool ready, bool leaving) const {
   const bool keep_alive = message.keep_alive && !leaving;
-  auto read = platform_.ReadRequest(std::move(message), long_body);
+  auto read = platform_.ParseRequest(std::move(message), long_body);
   if (auto* request = std::get_if<FlowRequest>(&read)) {
     counters_.Add("flows_taken");
     return std::move(*request);
@@ -13,27 +13,27 @@
   if (const auto* bad = std::get_if<BadRequest>(&read)) {
     counters_.Add("requests_bad");
     if (bad->request_class) refused_(*bad->request_class);
-    edge.SendResponse(Platform::BadRequestAnswer(*bad), keep_alive && bad->status == 404);
+    edge.SendResponse(Platform::BadRequestResponse(*bad), keep_alive && bad->status == 404);
   } else if (std::get<Page>(read) == Page::kCounters) {
-    edge.SendResponse(Platform::PageAnswer(200, counters_.Print("\n"), keep_alive), keep_alive);
+    edge.SendResponse(Platform::PageResponse(200, counters_.Print("\n"), keep_alive), keep_alive);
   } else {
-    edge.SendResponse(Platform::PageAnswer(ready ? 200 : 503, ready ? "ready\n" : "draining\n", keep_alive),
+    edge.SendResponse(Platform::PageResponse(ready ? 200 : 503, ready ? "ready\n" : "draining\n", keep_alive),
                       keep_alive);
   }
   return std::nullopt;
 }
 
-void RequestIntake::RespondToInvalidRequest(EdgeConnection& edge, Parsed why) const {
+void RequestIntake::RespondToInvalidRequest(EdgeConnection& edge, ParseResult why) const {
   counters_.Add("requests_malformed");
   BadRequest bad{400, "this is no HTTP request"};
-  if (why == Parsed::kHeadTooLong) bad = {431, "the headers are too long"};
-  if (why == Parsed::kBodyTooLong) bad = {413, "the body is too long"};
-  edge.SendResponse(Platform::BadRequestAnswer(bad), false);
+  if (why == ParseResult::kHeadTooLong) bad = {431, "the headers are too long"};
+  if (why == ParseResult::kBodyTooLong) bad = {413, "the body is too long"};
+  edge.SendResponse(Platform::BadRequestResponse(bad), false);
 }
 
 void RequestIntake::RespondToSlowRequest(EdgeConnection& edge) const {
   counters_.Add("requests_slow");
-  edge.SendResponse(Platform::BadRequestAnswer({408, "the request took too long to come"}), false);
+  edge.SendResponse(Platform::BadRequestResponse({408, "the request took too long to come"}), false);
 }
 
 }  // namespace umberdyke::net
--- a/src/flow/take_in.h
+++ b/src/flow/take_in.h
@@ -21,7 +21,7 @@
   // the page of that name says; `leaving` connections end with their next answer.
   std::optional<FlowRequest> operator()(EdgeConnection& edge, Message message, bool long_body, bool ready,
                                         bool leaving) const;
-  void RespondToInvalidRequest(EdgeConnection& edge, Parsed why) const;
+  void RespondToInvalidRequest(EdgeConnection& edge, ParseResult why) const;
   void RespondToSlowRequest(EdgeConnection& edge) const;
 
  private:
--- a/src/flow/tally.h
+++ b/src/flow/tally.h
@@ -29,7 +29,7 @@
   }
 
   void CountFlow(int request_class, FlowEnd ending, Span took = {}) {
-    Figures::OfClass& c = figures_.classes.at(static_cast<size_t>(request_class));
+    ConsoleMetrics::PerClass& c = figures_.classes.at(static_cast<size_t>(request_class));
     ++(ending == FlowEnd::kServed ? c.success : ending == FlowEnd::kRejected ? c.overload : c.error);
     if (ending != FlowEnd::kServed || !timed_) return;
     const auto ms =
@@ -39,11 +39,11 @@
   }
   void CountSentAttempt() { ++figures_.dispatches; }
   bool timed() const { return timed_; }
-  const Figures& figures() const { return figures_; }
+  const ConsoleMetrics& figures() const { return figures_; }
 
  private:
   const bool timed_;
-  Figures figures_;
+  ConsoleMetrics figures_;
 };
 
 }  // namespace umberdyke::net
--- a/src/http1/http.cpp
+++ b/src/http1/http.cpp
@@ -56,7 +56,7 @@
   http_parser_settings s;
   http_parser_settings_init(&s);
   s.on_message_begin = [](http_parser* p) {
-    Of(p).begun_ = true;
+    Of(p).message_started_ = true;
     return 0;
   };
   s.on_url = [](http_parser* p, const char* at, size_t n) {
@@ -64,13 +64,13 @@
   };
   s.on_header_field = [](http_parser* p, const char* at, size_t n) {
     HttpParser& self = Of(p);
-    if (self.head_done_) return self.TakeText(&self.trailer_, at, n);
+    if (self.head_complete_) return self.TakeText(&self.trailer_, at, n);
     if (self.in_value_ || self.message_.headers.empty()) self.message_.headers.emplace_back();
     self.in_value_ = false;
     return self.TakeText(&self.message_.headers.back().name, at, n);
   };
   s.on_header_value = [](http_parser* p, const char* at, size_t n) {
-    if (Of(p).head_done_) return Of(p).TakeText(&Of(p).trailer_, at, n);
+    if (Of(p).head_complete_) return Of(p).TakeText(&Of(p).trailer_, at, n);
     Of(p).in_value_ = true;
     return Of(p).TakeText(&Of(p).message_.headers.back().value, at, n);
   };
@@ -82,8 +82,8 @@
 
 int HttpParser::TakeText(std::string* into, const char* at, size_t length) {
   head_bytes_ += length;
-  if (head_bytes_ > kMostHead) {
-    failure_ = Parsed::kHeadTooLong;
+  if (head_bytes_ > kMaxHeadBytes) {
+    failure_ = ParseResult::kHeadTooLong;
     return 1;
   }
   into->append(at, length);
@@ -96,11 +96,11 @@
     return 0;
   }
   body_bytes_ += length;
-  if (body_bytes_ > (passes_long_ ? kMostPassed : kMostBody)) {
-    failure_ = Parsed::kBodyTooLong;
+  if (body_bytes_ > (stream_long_bodies_ ? kMaxStreamedBody : kMaxBufferedBody)) {
+    failure_ = ParseResult::kBodyTooLong;
     return 1;
   }
-  long_ = long_ || body_bytes_ > kMostBody;
+  streaming_ = streaming_ || body_bytes_ > kMaxBufferedBody;
   message_.body.append(at, length);
   return 0;
 }
@@ -132,35 +132,36 @@
     header.value.erase(end == std::string::npos ? 0 : end + 1);
   }
   if (Ambiguous()) {
-    failure_ = Parsed::kMalformed;
+    failure_ = ParseResult::kMalformed;
     return -1;
   }
   parser_.upgrade = 0;  // no other protocol is spoken here: asking for one changes nothing
   message_.status = kind_ == Kind::kResponse ? static_cast<int>(parser_.status_code) : 0;
   if (kind_ == Kind::kRequest) message_.method = http_method_str(static_cast<http_method>(parser_.method));
   message_.keep_alive = http_should_keep_alive(&parser_) != 0;
-  message_.takes_chunks = parser_.http_major > 1 || (parser_.http_major == 1 && parser_.http_minor >= 1);
+  message_.accepts_chunked = parser_.http_major > 1 || (parser_.http_major == 1 && parser_.http_minor >= 1);
   const bool told = (parser_.flags & F_CONTENTLENGTH) != 0;
-  if (told) message_.length = parser_.content_length;
-  head_done_ = true;
+  if (told) message_.content_length = parser_.content_length;
+  head_complete_ = true;
   // A length that is announced too long need not be waited for.
-  if (!sink_ && told && parser_.content_length > (passes_long_ ? kMostPassed : kMostBody)) {
-    failure_ = Parsed::kBodyTooLong;
+  if (!sink_ && told &&
+      parser_.content_length > (stream_long_bodies_ ? kMaxStreamedBody : kMaxBufferedBody)) {
+    failure_ = ParseResult::kBodyTooLong;
     return -1;
   }
-  long_ = !sink_ && told && parser_.content_length > kMostBody;
+  streaming_ = !sink_ && told && parser_.content_length > kMaxBufferedBody;
   return 0;
 }
 
 int HttpParser::EndMessage() {
   if (kind_ == Kind::kResponse &&
       parser_.status_code / 100 == 1) {  // an interim answer: the real one follows
-    if (++interim_ > kMostInterim) {
-      failure_ = Parsed::kMalformed;
+    if (++interim_ > kMaxInterimResponses) {
+      failure_ = ParseResult::kMalformed;
       return 1;
     }
     message_ = Message();
-    begun_ = head_done_ = in_value_ = false;
+    message_started_ = head_complete_ = in_value_ = false;
     return 0;
   }
   complete_ = true;
@@ -168,32 +169,32 @@
   return 0;
 }
 
-Parsed HttpParser::Feed(std::string_view bytes, size_t* used) {
+ParseResult HttpParser::Feed(std::string_view bytes, size_t* used) {
   static const http_parser_settings kCallbacks = Callbacks();
   *used = http_parser_execute(&parser_, &kCallbacks, bytes.data(), bytes.size());
   return Finish(*used, bytes.size());
 }
 
-Parsed HttpParser::FeedEnd() {
+ParseResult HttpParser::FeedEnd() {
   size_t used = 0;
-  const Parsed parsed = Feed({}, &used);
-  return parsed == Parsed::kMore ? Parsed::kMalformed : parsed;
+  const ParseResult parsed = Feed({}, &used);
+  return parsed == ParseResult::kIncomplete ? ParseResult::kMalformed : parsed;
 }
 
 Message HttpParser::TakeHead() {
-  std::string piece = TakePiece();
+  std::string piece = TakeBodyPart();
   Message head = std::exchange(message_, {});
   message_.body = std::move(piece);
   return head;
 }
 
-Parsed HttpParser::Finish(size_t used, size_t given) {
-  if (failure_ != Parsed::kMore) return failure_;
-  if (complete_) return Parsed::kComplete;
+ParseResult HttpParser::Finish(size_t used, size_t given) {
+  if (failure_ != ParseResult::kIncomplete) return failure_;
+  if (complete_) return ParseResult::kComplete;
   const http_errno error = HTTP_PARSER_ERRNO(&parser_);
-  if (error == HPE_HEADER_OVERFLOW) return Parsed::kHeadTooLong;
-  if (error != HPE_OK || used != given) return Parsed::kMalformed;
-  return Parsed::kMore;
+  if (error == HPE_HEADER_OVERFLOW) return ParseResult::kHeadTooLong;
+  if (error != HPE_OK || used != given) return ParseResult::kMalformed;
+  return ParseResult::kIncomplete;
 }
 
 Message HttpParser::Take() {
@@ -202,10 +203,10 @@
   http_parser_init(&parser_, kind_ == Kind::kRequest ? HTTP_REQUEST : HTTP_RESPONSE);
   trailer_.clear();
   head_bytes_ = body_bytes_ = 0;
-  long_ = false;
+  streaming_ = false;
   interim_ = 0;
-  begun_ = in_value_ = head_done_ = complete_ = false;
-  failure_ = Parsed::kMore;
+  message_started_ = in_value_ = head_complete_ = complete_ = false;
+  failure_ = ParseResult::kIncomplete;
   return message;
 }
 
@@ -227,14 +228,15 @@
 }
 
 std::string FramingHeader(const Framing& framing) {
-  if (framing.length) return "Content-Length: " + std::to_string(*framing.length) + "\r\n\r\n";
+  if (framing.content_length)
+    return "Content-Length: " + std::to_string(*framing.content_length) + "\r\n\r\n";
   return framing.chunked ? "Transfer-Encoding: chunked\r\n\r\n" : "\r\n";
 }
 
 }  // namespace
 
-std::string WriteAnswerHead(int status, const std::vector<Header>& headers, const Framing& framing,
-                            bool keep_alive) {
+std::string WriteResponseHead(int status, const std::vector<Header>& headers, const Framing& framing,
+                              bool keep_alive) {
   return AnswerStart(status, headers, keep_alive) + FramingHeader(framing);
 }
 
@@ -243,18 +245,18 @@
   return RequestStart(method, target, headers) + FramingHeader(framing);
 }
 
-std::string WritePiece(std::string piece, const Framing& framing) {
+std::string WriteBodyPart(std::string piece, const Framing& framing) {
   if (!framing.chunked || piece.empty()) return piece;  // an empty chunk would be the last one
   char size[20];
   std::snprintf(size, sizeof size, "%zx\r\n", piece.size());
   return size + piece + "\r\n";
 }
 
-std::string WriteLastPiece(const Framing& framing) { return framing.chunked ? "0\r\n\r\n" : ""; }
+std::string WriteBodyEnd(const Framing& framing) { return framing.chunked ? "0\r\n\r\n" : ""; }
 
-std::string WriteAnswer(int status, const std::vector<Header>& headers, std::string_view body,
-                        bool keep_alive) {
-  return WriteAnswerHead(status, headers, {body.size(), false}, keep_alive).append(body);
+std::string WriteResponse(int status, const std::vector<Header>& headers, std::string_view body,
+                          bool keep_alive) {
+  return WriteResponseHead(status, headers, {body.size(), false}, keep_alive).append(body);
 }
 
 std::string WriteRequest(std::string_view method, std::string_view target, const std::vector<Header>& headers,
--- a/src/lab/fleet/stand_ins.cpp
+++ b/src/lab/fleet/stand_ins.cpp
@@ -108,7 +108,8 @@
     explicit Caller(Unfenced& o) : owner(o), stream(o.loop_, this) {}
     void OnData(std::string_view bytes) override {
       size_t used = 0;
-      if (parser.Feed(bytes, &used) == net::Parsed::kComplete) stream.Write(owner.AnswerTo(parser.Take()));
+      if (parser.Feed(bytes, &used) == net::ParseResult::kComplete)
+        stream.Write(owner.AnswerTo(parser.Take()));
     }
     void OnEnd() override { owner.Gone(this); }
     void OnWritten(bool ok) override {
@@ -133,7 +134,7 @@
     callers_.erase(it);
   }
   std::string AnswerTo(const net::Message& message) {
-    const auto call = net::ReadCall(message);
+    const auto call = net::ParseConsoleRequest(message);
     if (const auto* order = std::get_if<net::FleetOrder>(&call)) {
       const auto us =
           std::chrono::duration_cast<std::chrono::microseconds>(net::Clock::now().time_since_epoch());
@@ -143,12 +144,12 @@
                 {"step", order->step},
                 {"life", name_},
                 {"us", us.count()}});
-      return net::CallAnswer(200, "verdict=taken\n");
+      return net::ConsoleResponse(200, "verdict=taken\n");
     }
-    const auto* plain = std::get_if<net::ConsoleCall>(&call);
-    if (plain == nullptr) return net::CallAnswer(404, "no\n");
-    if (*plain == net::ConsoleCall::kReady) return net::CallAnswer(200, "ready\n");
-    return net::CallAnswer(
+    const auto* plain = std::get_if<net::ConsoleEndpoint>(&call);
+    if (plain == nullptr) return net::ConsoleResponse(404, "no\n");
+    if (*plain == net::ConsoleEndpoint::kReady) return net::ConsoleResponse(200, "ready\n");
+    return net::ConsoleResponse(
         200, "name=" + name_ + "\nstate=serving\napplication=linen-track\nlife=" + name_ + "\n");
   }
 
--- a/src/lab/fleet/world_rollout.cpp
+++ b/src/lab/fleet/world_rollout.cpp
@@ -172,7 +172,7 @@
         any = true;
         if (lines.find("\nstate=ending\n") != std::string::npos) continue;
         const std::string life = lines.substr(at + 6, lines.find('\n', at + 1) - at - 6);
-        Call(address, net::EndRequest(life), &status);
+        Call(address, net::EndProcessRequest(life), &status);
       }
     }
     if (!any) return;
--- a/src/lab/membership/caller.h
+++ b/src/lab/membership/caller.h
@@ -34,10 +34,10 @@
   void OnData(std::string_view bytes) override {
     while (!bytes.empty() && stream.open()) {
       size_t used = 0;
-      const net::Parsed parsed = parser_.Feed(bytes, &used);
+      const net::ParseResult parsed = parser_.Feed(bytes, &used);
       bytes.remove_prefix(used);
-      if (parsed == net::Parsed::kMore) return;
-      if (parsed != net::Parsed::kComplete) return OnEnd();
+      if (parsed == net::ParseResult::kIncomplete) return;
+      if (parsed != net::ParseResult::kComplete) return OnEnd();
       const net::Message answer = parser_.Take();
       const std::string* connection = answer.Find("Connection");
       if (connection != nullptr && *connection == "close") broken_ = true;
--- a/src/lab/membership/propagation.cpp
+++ b/src/lab/membership/propagation.cpp
@@ -74,7 +74,7 @@
   std::unordered_map<std::string, net::Time> gone, added;
   std::vector<double> gone_ms, added_ms;
   size_t known = 0;
-  const auto told = [&](const net::ListedChange& change, ListUpdate) {
+  const auto told = [&](const net::ServerListChange& change, ListUpdate) {
     const net::Time now = Clock::now();
     const auto took = [&](auto& waiting, auto& list, const std::string& id) {
       const auto it = waiting.find(id);
--- a/src/lab/membership/stand_in.cpp
+++ b/src/lab/membership/stand_in.cpp
@@ -17,10 +17,10 @@
   void OnData(std::string_view bytes) override {
     while (!bytes.empty() && stream.open()) {
       size_t used = 0;
-      const net::Parsed parsed = parser_.Feed(bytes, &used);
+      const net::ParseResult parsed = parser_.Feed(bytes, &used);
       bytes.remove_prefix(used);
-      if (parsed == net::Parsed::kMore) return;
-      if (parsed != net::Parsed::kComplete) return Drop();
+      if (parsed == net::ParseResult::kIncomplete) return;
+      if (parsed != net::ParseResult::kComplete) return Drop();
       owner_.Take(*this, parser_.Take());
     }
   }
@@ -37,7 +37,7 @@
     done_.Start(time);
   }
   void Reply(int status, const std::string& body, const std::vector<net::Header>& headers = {}) {
-    if (stream.open()) stream.Write(net::WriteAnswer(status, headers, body, true));
+    if (stream.open()) stream.Write(net::WriteResponse(status, headers, body, true));
   }
   void Close() {
     std::erase_if(owner_.waiting_, [this](const auto& one) { return one.first == this; });
--- a/src/membership/discovery_source.cpp
+++ b/src/membership/discovery_source.cpp
@@ -57,13 +57,13 @@
 void ListWatch::OnData(std::string_view bytes) {
   size_t used = 0;
   bytes_ += static_cast<std::int64_t>(bytes.size());
-  const Parsed parsed = parser_.Feed(bytes, &used);
+  const ParseResult parsed = parser_.Feed(bytes, &used);
   if (!stream_.open()) return;
-  const bool good = !parser_.head_done() || parser_.message().status == 200;
+  const bool good = !parser_.head_complete() || parser_.message().status == 200;
   if (!good) return Fail(Held() ? CallFailure::kOverloaded : CallFailure::kRefused);
   if (cutter_.held() > kLongestItem) return Fail(CallFailure::kMalformed);
-  if (parsed == Parsed::kComplete) return OnEnd();
-  if (parsed != Parsed::kMore) Fail(CallFailure::kMalformed);
+  if (parsed == ParseResult::kComplete) return OnEnd();
+  if (parsed != ParseResult::kIncomplete) Fail(CallFailure::kMalformed);
 }
 
 // One that ends before anything was told, after it had waited, was in the queue for too long.
@@ -213,7 +213,7 @@
     backoff_.Reset();
   }
   if (text.empty()) return;
-  const auto change = platform_.ReadList(text);
+  const auto change = platform_.ParseServerList(text);
   if (!change) return Unreadable(from_old);
   counters_.Add("discovery_changes");
   if (!from_old && !watch_->answered()) NoteAnswer(*change);
@@ -225,7 +225,7 @@
   owner_.told(*change, change->full ? ListUpdate::kComplete : ListUpdate::kChanges);
 }
 
-void DiscoverySource::NoteAnswer(const ListedChange& change) {
+void DiscoverySource::NoteAnswer(const ServerListChange& change) {
   watch_->MarkAnswered();
   const auto servers = static_cast<std::int64_t>(change.servers.size());
   const std::int64_t after = watch_->AgeMs();
--- a/src/membership/discovery_source.h
+++ b/src/membership/discovery_source.h
@@ -95,7 +95,7 @@
   void HeardOn(const ListWatch* call, std::string_view text);
   void TakeItem(std::string_view text, bool from_old);
   void Unreadable(bool from_old);
-  void NoteAnswer(const ListedChange& change);
+  void NoteAnswer(const ServerListChange& change);
   void Failed(CallFailure failure);
   void Drop(std::unique_ptr<ListWatch>& watch, const char* why);
   Span Jittered(Span time);
--- a/src/membership/file_source.cpp
+++ b/src/membership/file_source.cpp
@@ -32,7 +32,7 @@
 
 void FileSource::Read() {
   const files::ReadResult read = files::ReadWhole(path_, kLargestList);
-  const auto list = read.error.empty() ? platform_.ReadList(read.text) : std::nullopt;
+  const auto list = read.error.empty() ? platform_.ParseServerList(read.text) : std::nullopt;
   // A list with a line that makes no sense would drop that server: better the whole old list than half a new
   // one.
   const std::string why = !read.error.empty()    ? read.error
--- a/src/membership/nodes_source.cpp
+++ b/src/membership/nodes_source.cpp
@@ -50,8 +50,8 @@
 }  // namespace
 
 NodesSource::NodesSource(Loop& loop, const Platform& platform, const Membership& settings,
-                         std::string own_data, const ListedChange& known, Counters& counters, log::Log& log,
-                         Owner owner)
+                         std::string own_data, const ServerListChange& known, Counters& counters,
+                         log::Log& log, Owner owner)
     : platform_(platform),
       settings_(settings),
       own_data_(std::move(own_data)),
@@ -232,7 +232,7 @@
   } else if (rc != nodes::kOk) {
     unread_.insert(name);  // the next connection asks again
     names_due_ = true;
-  } else if (const auto server = platform_.ReadMember(data, name)) {
+  } else if (const auto server = platform_.ParseMember(data, name)) {
     const bool draining = server->state != UpstreamState::kReady;
     data_[name] = *server;
     reconciler_.Data(now, name, {server->id, PrintAddress(server->address), draining}, stat.birth,
@@ -252,7 +252,7 @@
   if (!loaded_ && (names_out_ || !reading_.empty() || reconciler_.seen() == 0)) return;
   loaded_ = true;
   reconciler_.Tick(Clock::now());
-  ListedChange change;
+  ServerListChange change;
   for (const reconcile::Told& told : reconciler_.Take()) {
     ListedServer server;
     if (const auto it = data_.find(told.node); it != data_.end()) {
--- a/src/membership/nodes_source.h
+++ b/src/membership/nodes_source.h
@@ -20,7 +20,7 @@
 class NodesSource : public MemberSource {
  public:
   NodesSource(Loop& loop, const Platform& platform, const Membership& settings, std::string own_data,
-              const ListedChange& known, Counters& counters, log::Log& log, Owner owner);
+              const ServerListChange& known, Counters& counters, log::Log& log, Owner owner);
 
   void Watch(bool on) override;
   void Reload(const Config& next) override;
--- a/src/membership/service_entry.cpp
+++ b/src/membership/service_entry.cpp
@@ -4,7 +4,7 @@
 
 namespace umberdyke::net {
 
-void ServiceEntry::Take(const ListedChange& listed, ListUpdate kind) {
+void ServiceEntry::Take(const ServerListChange& listed, ListUpdate kind) {
   for (int i = 0; i < listed.unreadable; ++i) counters_.Add("discovery_unreadable");
   ListChange change{kind, {}, {}, false};
   std::unordered_set<ServerId> named;
--- a/src/membership/service_entry.h
+++ b/src/membership/service_entry.h
@@ -44,7 +44,7 @@
   ServiceEntry(Counters& counters, Told told) : counters_(counters), told_(std::move(told)) {}
 
   // What a source tells; the list that the sidecar was started with comes as kCached.
-  void Take(const ListedChange& listed, ListUpdate kind);
+  void Take(const ServerListChange& listed, ListUpdate kind);
   void Failed(const std::string& why) { told_({ListUpdate::kFailed, {}, why}); }
   // What other sidecars say has closed by versions later than `since`, which is this list's own: what is
   // ready here gets nothing new from now on.
--- a/src/membership/source.cpp
+++ b/src/membership/source.cpp
@@ -7,7 +7,7 @@
 namespace umberdyke::net {
 
 std::unique_ptr<MemberSource> MakeSource(Loop& loop, const Platform& platform, const Config& config,
-                                         const ListedChange& known, Counters& counters, log::Log& log,
+                                         const ServerListChange& known, Counters& counters, log::Log& log,
                                          MemberSource::Owner owner) {
   if (!config.membership) {
     return std::make_unique<DiscoverySource>(loop, platform, config, known.version, counters, log,
@@ -17,7 +17,7 @@
     return std::make_unique<FileSource>(loop, platform, config.membership->path, counters, log,
                                         std::move(owner));
   }
-  return std::make_unique<NodesSource>(loop, platform, *config.membership, Platform::MemberText(config),
+  return std::make_unique<NodesSource>(loop, platform, *config.membership, Platform::FormatMember(config),
                                        known, counters, log, std::move(owner));
 }
 
--- a/src/membership/source.h
+++ b/src/membership/source.h
@@ -22,7 +22,7 @@
 class MemberSource {
  public:
   struct Owner {
-    std::function<void(const ListedChange& change, ListUpdate kind)> told;
+    std::function<void(const ServerListChange& change, ListUpdate kind)> told;
     // The watch broke: the module says when to ask again. A source that sees to that by itself never calls
     // it.
     std::function<void(const std::string& why)> failed;
@@ -47,7 +47,7 @@
 
 // `known` is the list that the sidecar starts with. Throws ConfigError where the source cannot be had.
 std::unique_ptr<MemberSource> MakeSource(Loop& loop, const Platform& platform, const Config& config,
-                                         const ListedChange& known, Counters& counters, log::Log& log,
+                                         const ServerListChange& known, Counters& counters, log::Log& log,
                                          MemberSource::Owner owner);
 
 }  // namespace umberdyke::net
--- a/src/platform/console_calls.cpp
+++ b/src/platform/console_calls.cpp
@@ -13,13 +13,13 @@
 struct Path {
   std::string_view path;
   std::string_view method;
-  ConsoleCall call;
+  ConsoleEndpoint call;
 };
-constexpr std::array<Path, 5> kPaths = {{{"/v1/readyz", "GET", ConsoleCall::kReady},
-                                         {"/v1/metrics", "GET", ConsoleCall::kMetrics},
-                                         {"/v1/sidecar/drain", "PUT", ConsoleCall::kDrain},
-                                         {"/v1/sidecar/activate", "PUT", ConsoleCall::kActivate},
-                                         {"/v1/fleet", "GET", ConsoleCall::kFleet}}};
+constexpr std::array<Path, 5> kPaths = {{{"/v1/readyz", "GET", ConsoleEndpoint::kReady},
+                                         {"/v1/metrics", "GET", ConsoleEndpoint::kMetrics},
+                                         {"/v1/sidecar/drain", "PUT", ConsoleEndpoint::kDrain},
+                                         {"/v1/sidecar/activate", "PUT", ConsoleEndpoint::kActivate},
+                                         {"/v1/fleet", "GET", ConsoleEndpoint::kFleet}}};
 constexpr std::string_view kEnd = "/v1/sidecar/end";
 constexpr std::string_view kOrders = "/v1/fleet/orders/";
 constexpr std::string_view kNotes = "/v1/fleet/notes/";
@@ -38,21 +38,21 @@
   return number;
 }
 
-Call ReadOrder(const Message& message, std::string_view duty) {
+ConsoleRequest ReadOrder(const Message& message, std::string_view duty) {
   FleetOrder order;
   order.duty = std::string(duty);
   const std::string* application = message.Find(kApplicationHeader);
   const std::string* life = message.Find(kLifeHeader);
   if (application == nullptr || application->empty() || application->size() > kLongestWord) {
-    return NoCall{400, "an order names its application", ""};
+    return ConsoleError{400, "an order names its application", ""};
   }
   if (life == nullptr || life->empty() || life->size() > kLongestWord) {
-    return NoCall{400, "an order names the life that it is for", ""};
+    return ConsoleError{400, "an order names the life that it is for", ""};
   }
   const auto term = Positive(message.Find(kTermHeader)), step = Positive(message.Find(kStepHeader));
-  if (!term) return NoCall{400, "an order has a term, a whole number above zero", ""};
-  if (!step) return NoCall{400, "an order has a step, a whole number above zero", ""};
-  if (message.body.size() > kLongestNote) return NoCall{413, "the order is too long", ""};
+  if (!term) return ConsoleError{400, "an order has a term, a whole number above zero", ""};
+  if (!step) return ConsoleError{400, "an order has a step, a whole number above zero", ""};
+  if (message.body.size() > kMaxNoteBytes) return ConsoleError{413, "the order is too long", ""};
   order.application = *application;
   order.life = *life;
   order.term = *term;
@@ -63,7 +63,7 @@
 
 }  // namespace
 
-std::string PlainName(std::string_view name) {
+std::string EscapeMetricName(std::string_view name) {
   std::string out;
   for (const char c : name) {
     const auto byte = static_cast<unsigned char>(c);
@@ -86,29 +86,29 @@
 
 }  // namespace
 
-Call ReadCall(const Message& message) {
+ConsoleRequest ParseConsoleRequest(const Message& message) {
   const std::string_view target(message.target);
   const std::string_view path = target.substr(0, target.find('?'));
   for (const Path& known : kPaths) {
     if (path != known.path) continue;
     if (message.method == known.method) return known.call;
-    return NoCall{405, "this path takes " + std::string(known.method), std::string(known.method)};
+    return ConsoleError{405, "this path takes " + std::string(known.method), std::string(known.method)};
   }
   if (path == kEnd) {
-    if (message.method != "PUT") return NoCall{405, "this path takes PUT", "PUT"};
+    if (message.method != "PUT") return ConsoleError{405, "this path takes PUT", "PUT"};
     const std::string* life = message.Find(kLifeHeader);
-    if (life == nullptr || life->empty()) return NoCall{400, "who is to end is named by its life", ""};
-    return EndLife{*life};
+    if (life == nullptr || life->empty()) return ConsoleError{400, "who is to end is named by its life", ""};
+    return EndProcess{*life};
   }
   if (path.starts_with(kOrders) && path.size() - kOrders.size() <= kLongestWord) {
-    if (message.method != "PUT") return NoCall{405, "this path takes PUT", "PUT"};
+    if (message.method != "PUT") return ConsoleError{405, "this path takes PUT", "PUT"};
     return ReadOrder(message, path.substr(kOrders.size()));
   }
   if (path.starts_with(kNotes) && path.size() - kNotes.size() <= kLongestWord) {
-    if (message.method != "GET") return NoCall{405, "this path takes GET", "GET"};
-    return FleetNote{std::string(path.substr(kNotes.size()))};
+    if (message.method != "GET") return ConsoleError{405, "this path takes GET", "GET"};
+    return FleetNoteRequest{std::string(path.substr(kNotes.size()))};
   }
-  return NoCall{404, "no such path", ""};
+  return ConsoleError{404, "no such path", ""};
 }
 
 std::string OrderRequest(const FleetOrder& order) {
@@ -122,44 +122,44 @@
                       order.text);
 }
 
-std::string FleetRequest() { return PlainRequest(ConsoleCall::kFleet); }
+std::string FleetRequest() { return EndpointRequest(ConsoleEndpoint::kFleet); }
 
-std::string EndRequest(const std::string& life) {
+std::string EndProcessRequest(const std::string& life) {
   return WriteRequest("PUT", std::string(kEnd),
                       {{"Host", "sidecar"}, {"Connection", "close"}, {kLifeHeader, life}}, "");
 }
 
-std::string PlainRequest(ConsoleCall call) {
+std::string EndpointRequest(ConsoleEndpoint call) {
   const auto known =
       std::find_if(kPaths.begin(), kPaths.end(), [&](const Path& p) { return p.call == call; });
   return WriteRequest(std::string(known->method), std::string(known->path),
                       {{"Host", "sidecar"}, {"Connection", "close"}}, "");
 }
 
-std::string PrintSlower(const Figures& figures) {
+std::string FormatSlower(const ConsoleMetrics& figures) {
   std::string out = "slower=";
   for (size_t i = 0; i < figures.slower.size(); ++i)
     out += (i == 0 ? "" : ",") + std::to_string(figures.slower[i]);
   return out + "\n";
 }
 
-NoCall NoCallFor(Parsed why) {
+ConsoleError ConsoleErrorFor(ParseResult why) {
   switch (why) {
-    case Parsed::kHeadTooLong:
+    case ParseResult::kHeadTooLong:
       return {431, "the headers are too long", ""};
-    case Parsed::kBodyTooLong:
+    case ParseResult::kBodyTooLong:
       return {413, "the body is too long", ""};
-    case Parsed::kMore:
+    case ParseResult::kIncomplete:
       return {408, "the call took too long to come", ""};
     default:
       return {400, "this is no HTTP request", ""};
   }
 }
 
-std::string PrintFigures(const Figures& figures) {
+std::string FormatMetrics(const ConsoleMetrics& figures) {
   std::string out;
-  for (const Figures::OfClass& c : figures.classes) {
-    const std::string name = PlainName(c.name);
+  for (const ConsoleMetrics::PerClass& c : figures.classes) {
+    const std::string name = EscapeMetricName(c.name);
     Line("success." + name, c.success, &out);
     Line("overload." + name, c.overload, &out);
     Line("error." + name, c.error, &out);
@@ -171,14 +171,14 @@
   return out;
 }
 
-std::string CallAnswer(int status, const std::string& body) {
-  return WriteAnswer(status, {{"Content-Type", "text/plain"}}, body, false);
+std::string ConsoleResponse(int status, const std::string& body) {
+  return WriteResponse(status, {{"Content-Type", "text/plain"}}, body, false);
 }
 
-std::string NoCallAnswer(const NoCall& no_call) {
+std::string ConsoleErrorResponse(const ConsoleError& no_call) {
   std::vector<Header> headers = {{"Content-Type", "text/plain"}};
   if (!no_call.allowed.empty()) headers.push_back({"Allow", no_call.allowed});
-  return WriteAnswer(no_call.status, headers, no_call.why + "\n", false);
+  return WriteResponse(no_call.status, headers, no_call.why + "\n", false);
 }
 
 }  // namespace umberdyke::net
--- a/src/platform/console_calls.h
+++ b/src/platform/console_calls.h
@@ -13,7 +13,7 @@
 
 namespace umberdyke::net {
 
-enum class ConsoleCall { kReady, kMetrics, kDrain, kActivate, kFleet };
+enum class ConsoleEndpoint { kReady, kMetrics, kDrain, kActivate, kFleet };
 
 // What an owner of a fleet-wide duty wants this sidecar to take, numbered so that it is taken once
 // (owner/fence.h).
@@ -24,36 +24,36 @@
   std::string text;
 };
 // The note that the latest order of a duty left here.
-struct FleetNote {
+struct FleetNoteRequest {
   std::string duty;
 };
-constexpr size_t kLongestNote = 16 * 1024;
+constexpr size_t kMaxNoteBytes = 16 * 1024;
 // The process of that life is to end, as SIGTERM has it.
-struct EndLife {
+struct EndProcess {
   std::string life;
 };
 
 // A call that is none: the status says why. `allowed` names the method of a path that exists.
-struct NoCall {
+struct ConsoleError {
   int status;
   std::string why;
   std::string allowed;
 };
 
-using Call = std::variant<ConsoleCall, FleetOrder, FleetNote, EndLife, NoCall>;
-// An order whose term, step or life is missing or is no plain positive number is a NoCall.
-Call ReadCall(const Message& message);
-NoCall NoCallFor(Parsed why);
+using ConsoleRequest = std::variant<ConsoleEndpoint, FleetOrder, FleetNoteRequest, EndProcess, ConsoleError>;
+// An order whose term, step or life is missing or is no plain positive number is a ConsoleError.
+ConsoleRequest ParseConsoleRequest(const Message& message);
+ConsoleError ConsoleErrorFor(ParseResult why);
 
 // What operators are told; counted from the process's start.
-struct Figures {
-  struct OfClass {
+struct ConsoleMetrics {
+  struct PerClass {
     std::string name;
     std::uint64_t success = 0;
     std::uint64_t overload = 0;
     std::uint64_t error = 0;
   };
-  std::vector<OfClass> classes;
+  std::vector<PerClass> classes;
   std::uint64_t dispatches = 0;  // attempts written whole to real servers
   std::uint64_t concurrent = 0;  // requests taken and not ended
   std::uint64_t targets = 0;     // listed servers
@@ -63,22 +63,22 @@
 };
 
 // A line each, "name=count". A class's name is written so that it can break neither line nor name.
-std::string PrintFigures(const Figures& figures);
+std::string FormatMetrics(const ConsoleMetrics& figures);
 // "slower=12,9,4,...".
-std::string PrintSlower(const Figures& figures);
+std::string FormatSlower(const ConsoleMetrics& figures);
 
 // The name of a line, written so that it can break neither line nor name.
-std::string PlainName(std::string_view name);
+std::string EscapeMetricName(std::string_view name);
 
 // An order as an agent sends it, and the names of its answer.
 std::string OrderRequest(const FleetOrder& order);
 std::string FleetRequest();
-std::string EndRequest(const std::string& life);
-std::string PlainRequest(ConsoleCall call);
+std::string EndProcessRequest(const std::string& life);
+std::string EndpointRequest(ConsoleEndpoint call);
 
 // Always the connection's last: it holds one call.
-std::string CallAnswer(int status, const std::string& body);
-std::string NoCallAnswer(const NoCall& no_call);
+std::string ConsoleResponse(int status, const std::string& body);
+std::string ConsoleErrorResponse(const ConsoleError& no_call);
 
 }  // namespace umberdyke::net
 
--- a/src/platform/platform.cpp
+++ b/src/platform/platform.cpp
@@ -115,16 +115,16 @@
 
 }  // namespace
 
-std::variant<FlowRequest, BadRequest, Page> Platform::ReadRequest(Message message, bool long_body) const {
+std::variant<FlowRequest, BadRequest, Page> Platform::ParseRequest(Message message, bool long_body) const {
   const std::string* name = message.Find(kClass);
   const auto request_class = name ? NumberOf(config_.class_names, *name) : std::nullopt;
-  auto read = ReadRequest(std::move(message), long_body, request_class);
+  auto read = ParseRequest(std::move(message), long_body, request_class);
   if (auto* bad = std::get_if<BadRequest>(&read)) bad->request_class = request_class;
   return read;
 }
 
-std::variant<FlowRequest, BadRequest, Page> Platform::ReadRequest(Message message, bool long_body,
-                                                                  std::optional<int> request_class) const {
+std::variant<FlowRequest, BadRequest, Page> Platform::ParseRequest(Message message, bool long_body,
+                                                                   std::optional<int> request_class) const {
   if (message.target == kReady || message.target == kCounters) {
     if (message.method != "GET") return BadRequest{400, "this page takes GET"};
     return message.target == kReady ? Page::kReady : Page::kCounters;
@@ -170,19 +170,19 @@
   const std::string* retried = message.Find(kRetried);
   request.client_retry = retried != nullptr && *retried == "1";
   request.expected_work = ExpectedWork(message.Find(kFigures));
-  request.long_body = long_body;
+  request.streaming_body = long_body;
   request.message = std::move(message);
   return request;
 }
 
-std::string Platform::RequestFor(const FlowRequest& request, std::chrono::milliseconds wait) const {
+std::string Platform::BuildRequest(const FlowRequest& request, std::chrono::milliseconds wait) const {
   std::vector<Header> headers;
   for (const Header& header : request.message.headers) {
     if (!IsHopHeader(header.name) && !SameName(header.name, kTime)) headers.push_back(header);
   }
   headers.push_back({kTime, std::to_string(wait.count())});
   const Message& message = request.message;
-  if (request.long_body) {
+  if (request.streaming_body) {
     return WriteRequestHead(message.method, message.target, headers, FramingOf(message, true));
   }
   return WriteRequest(message.method, message.target, headers, message.body);
@@ -198,13 +198,13 @@
   return answer.status / 100 == 4 && !of_the_moment ? Outcome::kUnfit : Outcome::kError;
 }
 
-std::optional<LoadReport> Platform::ReportIn(const Message& answer) const {
+std::optional<LoadReport> Platform::ParseLoadReport(const Message& answer) const {
   const std::string* load = answer.Find(kLoad);
   return load == nullptr ? std::nullopt : ReadReport(*load);
 }
 
-std::optional<LoadReport> Platform::ReportInCheck(const Message& answer) const {
-  const std::optional<LoadReport> report = ReportIn(answer);
+std::optional<LoadReport> Platform::ParseCheckLoadReport(const Message& answer) const {
+  const std::optional<LoadReport> report = ParseLoadReport(answer);
   return report || answer.body.empty() ? report : ReadReport(answer.body);
 }
 
@@ -222,8 +222,8 @@
   return report;
 }
 
-Framing Platform::FramingOf(const Message& message, bool takes_chunks) {
-  return {message.length, !message.length && takes_chunks};
+Framing Platform::FramingOf(const Message& message, bool accepts_chunked) {
+  return {message.content_length, !message.content_length && accepts_chunked};
 }
 
 namespace {
@@ -238,52 +238,52 @@
 
 }  // namespace
 
-std::string Platform::ServedHead(const Message& head, const Framing& framing, bool keep_alive) const {
-  return WriteAnswerHead(200, PassedOn(head), framing, keep_alive);
+std::string Platform::SuccessHead(const Message& head, const Framing& framing, bool keep_alive) const {
+  return WriteResponseHead(200, PassedOn(head), framing, keep_alive);
 }
 
-std::string Platform::ServedAnswer(const Message& answer, bool keep_alive) const {
-  return WriteAnswer(200, PassedOn(answer), answer.body, keep_alive);
+std::string Platform::SuccessResponse(const Message& answer, bool keep_alive) const {
+  return WriteResponse(200, PassedOn(answer), answer.body, keep_alive);
 }
 
-std::string Platform::TurnDownAnswer(std::chrono::microseconds retry_after, bool keep_alive) {
+std::string Platform::RejectionResponse(std::chrono::microseconds retry_after, bool keep_alive) {
   std::vector<Header> headers;
   if (retry_after.count() > 0) {
     char text[32];
     std::snprintf(text, sizeof text, "%.3f", std::chrono::duration<double>(retry_after).count());
     headers.push_back({"Retry-After", text});
   }
-  return WriteAnswer(503, headers, "turned down, try again later\n", keep_alive);
+  return WriteResponse(503, headers, "turned down, try again later\n", keep_alive);
 }
 
-std::string Platform::FailedAnswer(bool in_time, bool keep_alive) {
-  return WriteAnswer(in_time ? 502 : 504, {}, "failed; it may have been carried out\n", keep_alive);
+std::string Platform::FailureResponse(bool in_time, bool keep_alive) {
+  return WriteResponse(in_time ? 502 : 504, {}, "failed; it may have been carried out\n", keep_alive);
 }
 
-std::string Platform::UnfitAnswer(int status, bool keep_alive) {
-  return WriteAnswer(status, {}, "no real server takes this request\n", keep_alive);
+std::string Platform::UnfitResponse(int status, bool keep_alive) {
+  return WriteResponse(status, {}, "no real server takes this request\n", keep_alive);
 }
 
-std::string Platform::BadRequestAnswer(const BadRequest& bad) {
-  return WriteAnswer(bad.status, {}, bad.why + "\n", bad.status == 404);
+std::string Platform::BadRequestResponse(const BadRequest& bad) {
+  return WriteResponse(bad.status, {}, bad.why + "\n", bad.status == 404);
 }
 
-std::string Platform::PageAnswer(int status, std::string_view body, bool keep_alive) {
-  return WriteAnswer(status, {{"Content-Type", "text/plain"}}, body, keep_alive);
+std::string Platform::PageResponse(int status, std::string_view body, bool keep_alive) {
+  return WriteResponse(status, {{"Content-Type", "text/plain"}}, body, keep_alive);
 }
 
 std::string Platform::WatchRequest(std::int64_t version, const std::string& host) {
   return WriteRequest("GET", "/api/targets?stream=1&index=" + std::to_string(version), {{"Host", host}}, "");
 }
 
-std::string Platform::CheckRequest(const std::string& host) const {
+std::string Platform::HealthCheckRequest(const std::string& host) const {
   return WriteRequest("GET", config_.report_columns.empty() ? "/-/healthy" : "/-/load", {{"Host", host}}, "");
 }
 
-std::optional<ListedChange> Platform::ReadList(std::string_view line) const {
+std::optional<ServerListChange> Platform::ParseServerList(std::string_view line) const {
   const Json json = Json::parse(line, nullptr, false);
   if (!json.is_object() || !json.contains("servers") || !json["servers"].is_array()) return std::nullopt;
-  ListedChange change;
+  ServerListChange change;
   change.version = static_cast<std::int64_t>(NumberIn(json, "version", 0));
   change.full = json.contains("full") && json["full"].is_boolean() && json["full"].get<bool>();
   for (const Json& entry : json["servers"]) {
@@ -296,7 +296,7 @@
   return change;
 }
 
-std::optional<ListedServer> Platform::ReadMember(std::string_view text, const std::string& usual_id) const {
+std::optional<ListedServer> Platform::ParseMember(std::string_view text, const std::string& usual_id) const {
   Json json = Json::parse(text, nullptr, false);
   if (!json.is_object()) return std::nullopt;
   if (!json.contains("id")) json["id"] = usual_id;
@@ -307,7 +307,7 @@
   return server;
 }
 
-std::string Platform::MemberText(const Config& config) {
+std::string Platform::FormatMember(const Config& config) {
   const auto now = std::chrono::system_clock::now().time_since_epoch();
   const auto zone = static_cast<size_t>(std::max(0, config.settings.zone));
   Json json = {{"id", config.name},
--- a/src/platform/platform.h
+++ b/src/platform/platform.h
@@ -19,8 +19,8 @@
 // A request as the chain knows it; `message` holds what passes on unchanged.
 struct FlowRequest {
   Message message;
-  std::string id;          // the client's own
-  bool long_body = false;  // which is not in the message, but follows
+  std::string id;               // the client's own
+  bool streaming_body = false;  // which is not in the message, but follows
   int request_class = 0;
   int tenant = 0;
   std::chrono::milliseconds time_left{};
@@ -49,7 +49,7 @@
   int zone = 0;
   int cell = 0;
 };
-struct ListedChange {
+struct ServerListChange {
   std::int64_t version = 0;
   bool full = false;
   std::vector<ListedServer> servers;
@@ -61,37 +61,37 @@
   explicit Platform(const Config& config) : config_(config) {}
 
   // `long_body`: the message is a head, whose body follows.
-  std::variant<FlowRequest, BadRequest, Page> ReadRequest(Message message, bool long_body = false) const;
+  std::variant<FlowRequest, BadRequest, Page> ParseRequest(Message message, bool long_body = false) const;
   // The request as it goes out: whole, or its head where the body follows.
-  std::string RequestFor(const FlowRequest& request, std::chrono::milliseconds wait) const;
+  std::string BuildRequest(const FlowRequest& request, std::chrono::milliseconds wait) const;
   // What an answer means; 200 counts only whole, which the reader sees to.
   static Outcome OutcomeOf(const Message& answer);
-  std::optional<LoadReport> ReportIn(const Message& answer) const;
+  std::optional<LoadReport> ParseLoadReport(const Message& answer) const;
 
   // How the body of a message goes on: by its length, or in chunks where the receiver takes them.
-  static Framing FramingOf(const Message& message, bool takes_chunks);
-  std::string ServedHead(const Message& head, const Framing& framing, bool keep_alive) const;
-  std::string ServedAnswer(const Message& answer, bool keep_alive) const;
-  static std::string TurnDownAnswer(std::chrono::microseconds retry_after, bool keep_alive);
-  static std::string FailedAnswer(bool in_time, bool keep_alive);
-  static std::string UnfitAnswer(int status, bool keep_alive);
-  static std::string BadRequestAnswer(const BadRequest& bad);
-  static std::string PageAnswer(int status, std::string_view body, bool keep_alive);
+  static Framing FramingOf(const Message& message, bool accepts_chunked);
+  std::string SuccessHead(const Message& head, const Framing& framing, bool keep_alive) const;
+  std::string SuccessResponse(const Message& answer, bool keep_alive) const;
+  static std::string RejectionResponse(std::chrono::microseconds retry_after, bool keep_alive);
+  static std::string FailureResponse(bool in_time, bool keep_alive);
+  static std::string UnfitResponse(int status, bool keep_alive);
+  static std::string BadRequestResponse(const BadRequest& bad);
+  static std::string PageResponse(int status, std::string_view body, bool keep_alive);
 
   static std::string WatchRequest(std::int64_t version, const std::string& host);
-  std::string CheckRequest(const std::string& host) const;
-  std::optional<LoadReport> ReportInCheck(const Message& answer) const;
+  std::string HealthCheckRequest(const std::string& host) const;
+  std::optional<LoadReport> ParseCheckLoadReport(const Message& answer) const;
   // One object of the list or of a watch; absent where it cannot be read at all.
-  std::optional<ListedChange> ReadList(std::string_view line) const;
+  std::optional<ServerListChange> ParseServerList(std::string_view line) const;
   // One server as it tells of itself in a node's data: an object as in the list, in which the id may be left
   // out.
-  std::optional<ListedServer> ReadMember(std::string_view json, const std::string& usual_id) const;
+  std::optional<ListedServer> ParseMember(std::string_view json, const std::string& usual_id) const;
   // And what a sidecar tells of itself.
-  static std::string MemberText(const Config& config);
+  static std::string FormatMember(const Config& config);
 
  private:
-  std::variant<FlowRequest, BadRequest, Page> ReadRequest(Message message, bool long_body,
-                                                          std::optional<int> request_class) const;
+  std::variant<FlowRequest, BadRequest, Page> ParseRequest(Message message, bool long_body,
+                                                           std::optional<int> request_class) const;
   std::optional<LoadReport> ReadReport(std::string_view json) const;
 
   const Config& config_;
--- a/src/platform/server_pages.cpp
+++ b/src/platform/server_pages.cpp
@@ -18,7 +18,7 @@
 
 }  // namespace
 
-std::optional<ServerNode> ReadServerNode(std::string_view text) {
+std::optional<ServerNode> ParseServerNode(std::string_view text) {
   const auto json = Read(text);
   if (!json) return std::nullopt;
   return ServerNode{(*json)["addr"], json->value("state", "ready") != "ready"};
@@ -35,7 +35,7 @@
   return WriteRequest("GET", "/-/load", {{"Host", "server"}, {"Connection", "close"}}, "");
 }
 
-bool SaysIdle(std::string_view body) {
+bool ReportsIdle(std::string_view body) {
   const Json json = Json::parse(body, nullptr, false);
   if (!json.is_object()) return false;
   const auto none = [&](const char* key) {
--- a/src/platform/server_pages.h
+++ b/src/platform/server_pages.h
@@ -11,19 +11,19 @@
 namespace umberdyke::net {
 
 // From when a server's leaving was told until nothing new may come to it.
-constexpr std::chrono::milliseconds kDrainTime{300};
+constexpr std::chrono::milliseconds kServerDrainTime{300};
 
 struct ServerNode {
   std::string address;
   bool draining = false;
 };
-std::optional<ServerNode> ReadServerNode(std::string_view json);
+std::optional<ServerNode> ParseServerNode(std::string_view json);
 // The same data with the state draining, or ready; absent where it is no such data.
 std::optional<std::string> WithState(std::string_view json, bool draining);
 
 std::string LoadRequest();
 // Nothing is worked on and nothing waits. What cannot be read is not idle.
-bool SaysIdle(std::string_view body);
+bool ReportsIdle(std::string_view body);
 
 }  // namespace umberdyke::net
 
--- a/src/server/real_server.cpp
+++ b/src/server/real_server.cpp
@@ -5,7 +5,7 @@
 
 namespace umberdyke::net {
 
-using How = ExchangeEnd::How;
+using Code = ExchangeResult::Code;
 using namespace std::chrono_literals;
 
 namespace {
@@ -21,7 +21,7 @@
 struct RealServers::Connection : StreamUser {
   Connection(RealServers& o, ServerId s, const Address& a)
       : owner(o), server(s), address(a), stream(o.loop_, this), parser(HttpParser::Kind::kResponse) {
-    parser.PassLongBodies();
+    parser.StreamLongBodies();
   }
 
   void OnConnected(bool ok) override { owner.Connected(*this, ok); }
@@ -84,9 +84,9 @@
     Begin(exchange);
     return id;
   }
-  if (open_ >= limits_.descriptors && !ShedOldest()) {
+  if (open_ >= limits_.max_connections && !ShedOldest()) {
     counters_.Add("connections_no_room");
-    EndLater(id, How::kNotTried);
+    EndLater(id, Code::kNotSent);
     return id;
   }
   counters_.Add("connections_opened");
@@ -99,7 +99,7 @@
   if (!exchange.connection->stream.Connect(address)) {
     counters_.Add("connections_no_room");
     ShedOldest();
-    EndLater(id, How::kNotTried);
+    EndLater(id, Code::kNotSent);
   }
   return id;
 }
@@ -114,16 +114,17 @@
 void RealServers::Begin(Exchange& exchange) {
   const Time now = Clock::now();
   std::optional<std::string> request;
-  if (now < exchange.send_by) request = exchange.events.request(std::max<Span>(exchange.until - now, 0ms));
-  if (!request) return EndLater(exchange.id, How::kNotTried);
+  if (now < exchange.send_by)
+    request = exchange.events.make_request(std::max<Span>(exchange.until - now, 0ms));
+  if (!request) return EndLater(exchange.id, Code::kNotSent);
   const Stream::Wrote wrote = exchange.connection->stream.Write(std::move(*request));
   if (wrote == Stream::Wrote::kBroken) {
-    EndLater(exchange.id, How::kNotConnected);
+    EndLater(exchange.id, Code::kNotConnected);
   } else if (exchange.fed) {
     exchange.connection->stream.KeepQueueShort();
     exchange.timer.Start(kNoProgress);
     loop_.Post(alive_, [this, id = exchange.id] {
-      if (const auto it = exchanges_.find(id); it != exchanges_.end()) it->second->events.room();
+      if (const auto it = exchanges_.find(id); it != exchanges_.end()) it->second->events.on_buffer_space();
     });
   } else if (wrote == Stream::Wrote::kAll) {
     Sent(exchange);
@@ -133,7 +134,7 @@
 }
 
 // Never from inside the call that starts or feeds it.
-void RealServers::EndLater(ExchangeId id, How how) {
+void RealServers::EndLater(ExchangeId id, Code how) {
   loop_.Post(alive_, [this, id, how] {
     if (const auto it = exchanges_.find(id); it != exchanges_.end()) End(*it->second, how);
   });
@@ -146,30 +147,30 @@
     exchange.until = exchange.started + exchange.time_out;
   }
   Await(exchange, exchange.until);
-  if (exchange.events.sent) exchange.events.sent();
+  if (exchange.events.on_written) exchange.events.on_written();
 }
 
-void RealServers::Feed(ExchangeId id, std::string bytes) {
+void RealServers::SendBody(ExchangeId id, std::string bytes) {
   const auto it = exchanges_.find(id);
   if (it == exchanges_.end() || bytes.empty()) return;
   it->second->timer.Start(kNoProgress);
   if (it->second->connection->stream.Write(std::move(bytes)) == Stream::Wrote::kBroken) {
-    EndLater(id, How::kNotConnected);
+    EndLater(id, Code::kNotConnected);
   }
 }
 
-bool RealServers::HasRoom(ExchangeId id) const {
+bool RealServers::HasBufferSpace(ExchangeId id) const {
   const auto it = exchanges_.find(id);
   if (it == exchanges_.end() || it->second->connecting) return false;
   return it->second->connection->stream.unwritten() < passing_.window();
 }
 
-bool RealServers::IsOut(ExchangeId id) const {
+bool RealServers::IsWritten(ExchangeId id) const {
   const auto it = exchanges_.find(id);
   return it != exchanges_.end() && it->second->written;
 }
 
-void RealServers::EndFeed(ExchangeId id, Span time_out) {
+void RealServers::EndBody(ExchangeId id, Span time_out) {
   const auto it = exchanges_.find(id);
   if (it == exchanges_.end()) return;
   it->second->fed_whole = true;
@@ -177,7 +178,7 @@
   if (it->second->connection->stream.unwritten() == 0) Sent(*it->second);
 }
 
-void RealServers::PauseAnswer(ExchangeId id) {
+void RealServers::PauseResponse(ExchangeId id) {
   const auto it = exchanges_.find(id);
   if (it == exchanges_.end() || it->second->paused) return;
   it->second->paused = true;
@@ -185,7 +186,7 @@
   it->second->connection->stream.Pause();
 }
 
-void RealServers::ResumeAnswer(ExchangeId id) {
+void RealServers::ResumeResponse(ExchangeId id) {
   const auto it = exchanges_.find(id);
   if (it == exchanges_.end() || !it->second->paused) return;
   it->second->paused = false;
@@ -196,7 +197,7 @@
 void RealServers::Connected(Connection& connection, bool ok) {
   Exchange& exchange = *connection.exchange;
   exchange.connecting = false;
-  if (!ok) return End(exchange, How::kNotConnected);
+  if (!ok) return End(exchange, Code::kNotConnected);
   connection.stream.Read();
   Begin(exchange);
 }
@@ -209,9 +210,9 @@
     return Ended(connection);
   }
   size_t used = 0;
-  const Parsed parsed = connection.parser.Feed(bytes, &used);
+  const ParseResult parsed = connection.parser.Feed(bytes, &used);
   // More than the answer is no part of it, but nothing that follows on this connection can be trusted.
-  if (parsed == Parsed::kComplete && used < bytes.size()) {
+  if (parsed == ParseResult::kComplete && used < bytes.size()) {
     counters_.Add("answers_with_excess");
     excess_seen_ = Clock::now();
     connection.excess = true;
@@ -220,45 +221,46 @@
 }
 
 // What has come of an answer so far, or all of it.
-void RealServers::Answering(Connection& connection, Parsed parsed) {
+void RealServers::Answering(Connection& connection, ParseResult parsed) {
   Exchange* exchange = connection.exchange;
   HttpParser& parser = connection.parser;
   // Before the request has gone out whole, only a body that is refused half-way has its answer.
   if (!exchange->written) {
     const int status = parser.message().status;
-    const bool refused = exchange->fed && parser.head_done() && status / 100 > 2;
-    if (parsed == Parsed::kMore && !refused && exchange->fed) return;
-    if (refused && (parsed == Parsed::kComplete || parsed == Parsed::kMore)) {
-      return End(*exchange, How::kAnswered, parser.TakeHead());
+    const bool refused = exchange->fed && parser.head_complete() && status / 100 > 2;
+    if (parsed == ParseResult::kIncomplete && !refused && exchange->fed) return;
+    if (refused && (parsed == ParseResult::kComplete || parsed == ParseResult::kIncomplete)) {
+      return End(*exchange, Code::kResponse, parser.TakeHead());
     }
     counters_.Add("answers_unasked");
-    return End(*exchange, How::kNotConnected);
+    return End(*exchange, Code::kNotConnected);
   }
   // Whoever answers has the request.
   if (std::exchange(exchange->send_by, Time::max()) != Time::max()) Await(*exchange, exchange->until);
-  if (parsed != Parsed::kMore && parsed != Parsed::kComplete) {
+  if (parsed != ParseResult::kIncomplete && parsed != ParseResult::kComplete) {
     counters_.Add("answers_malformed");
-    return End(*exchange, exchange->passing ? How::kBroken : How::kSpoilt);
+    return End(*exchange, exchange->passing ? Code::kReset : Code::kMalformed);
   }
-  const bool some = parsed == Parsed::kComplete || !parser.message().body.empty();
-  if (parser.is_long() && some && !exchange->passing) {
-    if (parser.message().status != 200 || !exchange->events.answer) {
-      return End(*exchange, How::kAnswered, parser.TakeHead());  // nobody reads what follows
+  const bool some = parsed == ParseResult::kComplete || !parser.message().body.empty();
+  if (parser.is_streaming() && some && !exchange->passing) {
+    if (parser.message().status != 200 || !exchange->events.on_response_head) {
+      return End(*exchange, Code::kResponse, parser.TakeHead());  // nobody reads what follows
     }
     exchange->passing = true;
     exchange->took = Clock::now() - exchange->started;
     connection.stream.KeepQueueShort();
     passing_.BeginTransfer();
     exchange->head = parser.TakeHead();
-    exchange->events.answer(exchange->head);
+    exchange->events.on_response_head(exchange->head);
     if (connection.exchange != exchange) return;  // nobody wants it
   }
   if (exchange->passing) {
-    if (std::string piece = parser.TakePiece(); !piece.empty()) exchange->events.piece(std::move(piece));
+    if (std::string piece = parser.TakeBodyPart(); !piece.empty())
+      exchange->events.on_response_body(std::move(piece));
     if (connection.exchange != exchange) return;
   }
-  if (parsed == Parsed::kComplete) return EndAnswered(connection);
-  if (parser.begun()) AwaitMore(*exchange);
+  if (parsed == ParseResult::kComplete) return EndAnswered(connection);
+  if (parser.message_started()) AwaitMore(*exchange);
 }
 
 // How long for, until something more of the answer comes.
@@ -269,9 +271,9 @@
     return;
   }
   const Span left = exchange.until - Clock::now();
-  const bool known = !parser.head_done() || parser.message().length.has_value();
+  const bool known = !parser.head_complete() || parser.message().content_length.has_value();
   // The pieces of an answer of unknown length do not put off its being passed on.
-  if (!known && parser.message().status == 200 && exchange.events.answer) {
+  if (!known && parser.message().status == 200 && exchange.events.on_response_head) {
     if (!std::exchange(exchange.holding, true)) exchange.timer.Start(std::clamp<Span>(left, 0ms, kHoldBack));
   } else {
     exchange.timer.Start(std::clamp<Span>(left, 0ms, kSilence));
@@ -288,19 +290,20 @@
     connection.rested = Clock::now();
     idle_[connection.server].push_back(std::move(exchange.connection));
   }
-  End(exchange, How::kAnswered, std::move(answer));
+  End(exchange, Code::kResponse, std::move(answer));
 }
 
 void RealServers::Ended(Connection& connection) {
   if (Exchange* exchange = connection.exchange; exchange != nullptr) {
     // An answer without a length ends here too, where the other side has closed as it should.
-    const bool ends = exchange->written && connection.stream.ended_well() && connection.parser.head_done() &&
-                      connection.parser.FeedEnd() == Parsed::kComplete;
+    const bool ends = exchange->written && connection.stream.ended_well() &&
+                      connection.parser.head_complete() &&
+                      connection.parser.FeedEnd() == ParseResult::kComplete;
     if (ends) {
       connection.excess = true;
-      return Answering(connection, Parsed::kComplete);
+      return Answering(connection, ParseResult::kComplete);
     }
-    return End(*exchange, exchange->written ? How::kBroken : How::kNotConnected);
+    return End(*exchange, exchange->written ? Code::kReset : Code::kNotConnected);
   }
   auto& idle = idle_[connection.server];
   const auto it =
@@ -314,14 +317,14 @@
 void RealServers::Written(Connection& connection, bool ok) {
   if (connection.exchange == nullptr) return;
   Exchange& exchange = *connection.exchange;
-  if (!ok) return End(exchange, How::kNotConnected);
+  if (!ok) return End(exchange, Code::kNotConnected);
   if (!exchange.fed) return Sent(exchange);
   exchange.timer.Start(kNoProgress);
   if (connection.stream.unwritten() > 0) return;
   if (exchange.fed_whole) {
     if (!exchange.written) Sent(exchange);
   } else {
-    exchange.events.room();
+    exchange.events.on_buffer_space();
   }
 }
 
@@ -336,40 +339,40 @@
       return Await(exchange, exchange.until);
     }
     counters_.Add("repeats_too_late");
-    return End(exchange, exchange.written ? How::kBroken : How::kNotTried);
+    return End(exchange, exchange.written ? Code::kReset : Code::kNotSent);
   }
   if (exchange.connecting) counters_.Add("connect_timeouts");
   if (exchange.passing) {
     counters_.Add("answers_stalled");
-    return End(exchange, How::kBroken);
+    return End(exchange, Code::kReset);
   }
   if (exchange.holding) {  // it goes on for longer than is held back
     exchange.holding = false;
-    exchange.connection->parser.MakeLong();
-    return Answering(*exchange.connection, Parsed::kMore);
+    exchange.connection->parser.StartStreaming();
+    return Answering(*exchange.connection, ParseResult::kIncomplete);
   }
   if (exchange.answering && Clock::now() < exchange.until) {
     counters_.Add("answers_unfinished");
-    return End(exchange, How::kSpoilt);
+    return End(exchange, Code::kMalformed);
   }
-  End(exchange, exchange.written ? How::kTimedOut : How::kNotConnected);
+  End(exchange, exchange.written ? Code::kTimedOut : Code::kNotConnected);
 }
 
 // The connection is closed, or at rest, before anybody hears of the end: never two attempts in flight.
-void RealServers::End(Exchange& exchange, How how, Message answer) {
+void RealServers::End(Exchange& exchange, Code how, Message answer) {
   const auto it = exchanges_.find(exchange.id);
   std::unique_ptr<Exchange> ended = std::move(it->second);
   exchanges_.erase(it);
   ended->timer.Stop();
   if (ended->connection != nullptr) Discard(std::move(ended->connection));
-  const auto done = std::move(ended->events.done);
+  const auto done = std::move(ended->events.on_done);
   const Span took = ended->passing ? ended->took : Clock::now() - ended->started;
   Forget(*ended);
   loop_.Bury(std::move(ended));
   done({how, std::move(answer), took});
 }
 
-std::optional<bool> RealServers::GiveUp(ExchangeId id) {
+std::optional<bool> RealServers::Cancel(ExchangeId id) {
   const auto it = exchanges_.find(id);
   if (it == exchanges_.end()) return std::nullopt;
   std::unique_ptr<Exchange> ended = std::move(it->second);
@@ -388,8 +391,8 @@
 }
 
 bool RealServers::Fresh(const Connection& connection) const {
-  const auto margin = std::min<std::chrono::microseconds>(limits_.idle / 5, std::chrono::seconds(1));
-  return Clock::now() - connection.rested < limits_.idle - margin;
+  const auto margin = std::min<std::chrono::microseconds>(limits_.idle_timeout / 5, std::chrono::seconds(1));
+  return Clock::now() - connection.rested < limits_.idle_timeout - margin;
 }
 
 // Guards against the rest of an earlier answer being read as the next one: a connection that has more to read
@@ -417,8 +420,8 @@
   return nullptr;
 }
 
-void RealServers::LimitTo(int descriptors) {
-  limits_.descriptors = descriptors;
+void RealServers::SetMaxConnections(int descriptors) {
+  limits_.max_connections = descriptors;
   while (open_ > descriptors && ShedOldest()) {
   }
 }
@@ -444,7 +447,7 @@
   idle_.erase(it);
 }
 
-void RealServers::Sweep() {
+void RealServers::CloseExpired() {
   for (auto it = idle_.begin(); it != idle_.end();) {
     auto& idle = it->second;
     while (!idle.empty() && !Fresh(*idle.front())) {
--- a/src/server/real_server.h
+++ b/src/server/real_server.h
@@ -20,41 +20,41 @@
 
 using ExchangeId = std::uint64_t;
 
-struct ExchangeEnd {
-  enum class How {
-    kAnswered,
+struct ExchangeResult {
+  enum class Code {
+    kResponse,
     kNotConnected,  // refused, never up, or broken before the request's last byte was written
-    kBroken,        // broken after that
-    kSpoilt,        // the answer made no sense, or is not the one that was asked for
+    kReset,         // broken after that
+    kMalformed,     // the answer made no sense, or is not the one that was asked for
     kTimedOut,      // no whole answer in time, though the request was written
-    kNotTried,      // every descriptor is in use, nobody wants it any more, or it is too late to send it
+    kNotSent,       // every descriptor is in use, nobody wants it any more, or it is too late to send it
   };
-  How how;
-  Message answer;  // without a body where it was told in pieces
-  Span took{};     // of a long answer: to its first bytes; of a body that was fed: from its last byte on
+  Code code;
+  Message response;  // without a body where it was told in pieces
+  Span latency{};    // of a long answer: to its first bytes; of a body that was fed: from its last byte on
 };
 
 // What the one that starts an exchange is asked and told. All but request and done may be empty.
 struct ExchangeEvents {
   // The request's text, asked for right before its first byte goes out, with the time that is left for its
   // answer by then; nothing where it is not to be sent any more.
-  std::function<std::optional<std::string>(Span left)> request;
-  std::function<void()> sent;  // the request's last byte is written
+  std::function<std::optional<std::string>(Span left)> make_request;
+  std::function<void()> on_written;  // the request's last byte is written
   // A body that is fed: its head is out, or some of it is, and there is room for more.
-  std::function<void()> room;
+  std::function<void()> on_buffer_space;
   // A long answer of 200: its head, then its body in pieces. Without this, a long answer is spoilt.
-  std::function<void(const Message& head)> answer;
-  std::function<void(std::string piece)> piece;
-  // Follows in any case but GiveUp, never from inside Start; the connection is closed or at rest by then.
-  std::function<void(ExchangeEnd)> done;
+  std::function<void(const Message& head)> on_response_head;
+  std::function<void(std::string piece)> on_response_body;
+  // Follows in any case but Cancel, never from inside Start; the connection is closed or at rest by then.
+  std::function<void(ExchangeResult)> on_done;
 };
 
 class RealServers {
  public:
   struct Limits {
     std::chrono::microseconds connect_timeout;
-    std::chrono::microseconds idle;  // real servers close what stood idle for this long
-    int descriptors;
+    std::chrono::microseconds idle_timeout;  // real servers close what stood idle for this long
+    int max_connections;
   };
 
   RealServers(Loop& loop, const Limits& limits, StreamingBufferLimit& passing, Counters& counters);
@@ -64,22 +64,22 @@
   ExchangeId Start(ServerId server, const Address& address, Span time_out, Time send_by,
                    ExchangeEvents events, bool fed = false);
   // More of the request's body, where it is fed; `room` says when. The time-out runs from its end.
-  void Feed(ExchangeId exchange, std::string bytes);
-  bool HasRoom(ExchangeId exchange) const;
-  void EndFeed(ExchangeId exchange, Span time_out);
+  void SendBody(ExchangeId exchange, std::string bytes);
+  bool HasBufferSpace(ExchangeId exchange) const;
+  void EndBody(ExchangeId exchange, Span time_out);
   // The long answer's reader lags, or has caught up.
-  void PauseAnswer(ExchangeId exchange);
-  void ResumeAnswer(ExchangeId exchange);
+  void PauseResponse(ExchangeId exchange);
+  void ResumeResponse(ExchangeId exchange);
   // Closes the exchange's connection; `done` does not follow. Says whether the request had been written
   // whole; nothing for an exchange that is over.
-  std::optional<bool> GiveUp(ExchangeId exchange);
+  std::optional<bool> Cancel(ExchangeId exchange);
   void CloseIdle(ServerId server);
   // Closes connections near the end of their idle time.
-  void Sweep();
-  bool IsOut(ExchangeId id) const;  // the request's last byte is written
+  void CloseExpired();
+  bool IsWritten(ExchangeId id) const;  // the request's last byte is written
   // From now on so many connections at most; those at rest over that close.
-  void LimitTo(int descriptors);
-  int open() const { return open_; }
+  void SetMaxConnections(int descriptors);
+  int open_connections() const { return open_; }
 
  private:
   struct Connection;
@@ -88,9 +88,9 @@
   void Begin(Exchange& exchange);
   void Await(Exchange& exchange, Time most);
   void Sent(Exchange& exchange);
-  void Answering(Connection& connection, Parsed parsed);
+  void Answering(Connection& connection, ParseResult parsed);
   void EndAnswered(Connection& connection);
-  void EndLater(ExchangeId id, ExchangeEnd::How how);
+  void EndLater(ExchangeId id, ExchangeResult::Code how);
   void AwaitMore(Exchange& exchange);
   void Forget(const Exchange& exchange);
   void Connected(Connection& connection, bool ok);
@@ -98,7 +98,7 @@
   void Ended(Connection& connection);
   void Written(Connection& connection, bool ok);
   void Late(ExchangeId id);
-  void End(Exchange& exchange, ExchangeEnd::How how, Message answer = {});
+  void End(Exchange& exchange, ExchangeResult::Code how, Message answer = {});
   std::unique_ptr<Connection> TakeWarm(ServerId server, const Address& address);
   bool ShedOldest();
   void Discard(std::unique_ptr<Connection> connection);
--- a/src/sidecar/sidecar.cpp
+++ b/src/sidecar/sidecar.cpp
@@ -85,12 +85,13 @@
             [this](const std::vector<double>& parts) { decisions_.OnZoneShares(parts); },
             [this](ServerId server) { Check(server, [](Outcome, const std::optional<LoadReport>&) {}); }});
   }
-  const std::optional<ListedChange> known = platform_.ReadList(config_.known);
+  const std::optional<ServerListChange> known = platform_.ParseServerList(config_.known);
   if (!known && !config_.known.empty()) counters_.Add("discovery_unreadable");
-  source_ = MakeSource(loop, platform_, config_, known.value_or(ListedChange{}), counters_, *log_,
-                       {[this](const ListedChange& change, ListUpdate kind) { entry_.Take(change, kind); },
-                        [this](const std::string& why) { entry_.Failed(why); }});
-  entry_.Take(known.value_or(ListedChange{}), ListUpdate::kCached);
+  source_ =
+      MakeSource(loop, platform_, config_, known.value_or(ServerListChange{}), counters_, *log_,
+                 {[this](const ServerListChange& change, ListUpdate kind) { entry_.Take(change, kind); },
+                  [this](const std::string& why) { entry_.Failed(why); }});
+  entry_.Take(known.value_or(ServerListChange{}), ListUpdate::kCached);
   if (config_.peers && !config_.membership) {
     peers_ = std::make_unique<PeerExchange>(loop, *config_.peers, config_.seed, *source_, entry_, counters_);
   }
@@ -157,7 +158,7 @@
   const bool shared = handover_->shared();
   edge_limit_ = EdgeLimit(config_, shared);
   streaming_limit_.SetShared(shared);
-  servers_.LimitTo(edge_limit_);
+  servers_.SetMaxConnections(edge_limit_);
   ShedTo(edge_limit_);
   log_->Say(Event::kTakenOver,
             config_.name + (shared ? " shares its limits with another process" : " has its limits to itself"),
@@ -275,7 +276,7 @@
 }
 
 // What comes of a long body is no body, or comes too slowly: its flow ends with the answer that says so.
-void Sidecar::OnInvalidRequest(EdgeConnection& edge, Parsed why) {
+void Sidecar::OnInvalidRequest(EdgeConnection& edge, ParseResult why) {
   LeaveFlow(edge, FlowEnd::kFailed);
   request_intake_.RespondToInvalidRequest(edge, why);
 }
@@ -406,21 +407,22 @@
   counters_.Add("checks_sent");
   if (record == nullptr || !attempt_router_.AcceptsNewWork(server)) return done(Outcome::kNotSent, {});
   ExchangeEvents events;
-  events.request = [this, server, to = PrintAddress(record->address)](Span) {
-    return attempt_router_.AcceptsNewWork(server) ? std::optional(platform_.CheckRequest(to)) : std::nullopt;
+  events.make_request = [this, server, to = PrintAddress(record->address)](Span) {
+    return attempt_router_.AcceptsNewWork(server) ? std::optional(platform_.HealthCheckRequest(to))
+                                                  : std::nullopt;
   };
-  events.done = [this, server, done](const ExchangeEnd& end) {
+  events.on_done = [this, server, done](const ExchangeResult& end) {
     const Outcome outcome = AttemptSender::OutcomeOf(end);
-    const bool answered = end.how == ExchangeEnd::How::kAnswered;
+    const bool answered = end.code == ExchangeResult::Code::kResponse;
     Heard(server, outcome);
     if (zones_) zones_->Probed(server, outcome);  // whoever asked
-    done(outcome, answered ? platform_.ReportInCheck(end.answer) : std::nullopt);
+    done(outcome, answered ? platform_.ParseCheckLoadReport(end.response) : std::nullopt);
   };
   servers_.Start(server, record->address, kCheckTime, Time::max(), std::move(events));
 }
 
 void Sidecar::Tick() {
-  servers_.Sweep();
+  servers_.CloseExpired();
   entry_.Forget(Clock::now() - kForget);
   OnIdle();
   tick_.Start(kTick);
@@ -432,8 +434,8 @@
 
 void Sidecar::TakeZones(const std::string& text) { zones_->Take(text); }
 
-Figures Sidecar::CurrentFigures() const {
-  Figures figures = metrics_.figures();
+ConsoleMetrics Sidecar::CurrentFigures() const {
+  ConsoleMetrics figures = metrics_.figures();
   figures.concurrent = flows_.fully_received();
   figures.targets = entry_.listed();
   figures.targets_disabled = static_cast<std::uint64_t>(decisions_.Avoided());
--- a/src/sidecar/sidecar.h
+++ b/src/sidecar/sidecar.h
@@ -50,7 +50,7 @@
  private:
   bool ReadyToServe() const override { return life_.ready(); }
   std::string_view StateName() const override { return life_.name(); }
-  Figures CurrentFigures() const override;
+  ConsoleMetrics CurrentFigures() const override;
   bool SendClientsAway() override;
   bool TakeClientsBack() override;
   Time ServesSince() const override { return life_.since(); }
@@ -62,7 +62,7 @@
   void OnStreamingRequest(EdgeConnection& edge, Message head) override;
   void OnBodyData(EdgeConnection& edge) override;
   void OnWritable(EdgeConnection& edge) override;
-  void OnInvalidRequest(EdgeConnection& edge, Parsed why) override;
+  void OnInvalidRequest(EdgeConnection& edge, ParseResult why) override;
   void OnRequestTimeout(EdgeConnection& edge) override;
   void OnIdle() override;
   void OnClosed(EdgeConnection& edge) override;
--- a/src/sidecar/zone_watch.cpp
+++ b/src/sidecar/zone_watch.cpp
@@ -106,7 +106,7 @@
 std::string ZoneWatch::Lines() const {
   std::string out;
   for (size_t zone = 0; zone < config_.zone_names.size(); ++zone) {
-    const std::string name = PlainName(config_.zone_names[zone]);
+    const std::string name = EscapeMetricName(config_.zone_names[zone]);
     char part[32];
     std::snprintf(part, sizeof part, "%g", zone < parts_.size() ? parts_[zone] : 1.0);
     if (watch_.verdicts().ByWord(static_cast<int>(zone))) out += "zone_by_word." + name + "=1\n";
--- a/tests/console/console_test.cpp
+++ b/tests/console/console_test.cpp
@@ -208,10 +208,10 @@
 
 // Guards against a name that would read as another figure, or as two lines.
 TEST_CASE("a hostile class name breaks neither the form nor the line", "[console]") {
-  Figures figures;
+  ConsoleMetrics figures;
   figures.classes.push_back({"a=7\nsuccess.b", 1, 2, 3});
   figures.classes.push_back({"", 4, 5, 6});
-  const std::string text = PrintFigures(figures);
+  const std::string text = FormatMetrics(figures);
   CHECK(std::count(text.begin(), text.end(), '\n') == 2 * 3 + 4);
   CHECK(text.find("success.a%3D7%0Asuccess.b=1\n") == 0);
   CHECK(text.find("success.=4\n") != std::string::npos);
--- a/tests/fleet/fleet_test.cpp
+++ b/tests/fleet/fleet_test.cpp
@@ -394,7 +394,7 @@
   }
   bool ReadyToServe() const override { return true; }
   std::string_view StateName() const override { return "serving"; }
-  net::Figures CurrentFigures() const override { return {}; }
+  net::ConsoleMetrics CurrentFigures() const override { return {}; }
   bool SendClientsAway() override { return true; }
   bool TakeClientsBack() override { return true; }
   net::Time ServesSince() const override { return Clock::now(); }
@@ -448,7 +448,8 @@
     INFO(bad);
     CHECK(place->Call(head + bad + "\r\nContent-Length: 1\r\n\r\nx").status == 400);
   }
-  const net::FleetOrder longest{"census", "linen-track", life, 9, 5, std::string(net::kLongestNote + 1, 'x')};
+  const net::FleetOrder longest{
+      "census", "linen-track", life, 9, 5, std::string(net::kMaxNoteBytes + 1, 'x')};
   CHECK(place->Call(net::OrderRequest(longest)).status == 413);
   CHECK(place->counters.Of("orders_taken") == 2);
   CHECK(order(INT64_MAX, 6) == 200);
@@ -554,7 +555,7 @@
     census.sidecars.push_back(
         {"sidecar-" + std::to_string(i), "east", "front", "h", "serving", "1", 1, 0, 2, 0});
   }
-  CHECK(fleet::Print(census, net::kLongestNote).size() <= net::kLongestNote);
+  CHECK(fleet::Print(census, net::kMaxNoteBytes).size() <= net::kMaxNoteBytes);
   CHECK(std::holds_alternative<fleet::Census>(fleet::ReadCensus(fleet::Print(census))));
 }
 
--- a/tests/membership/service_test.cpp
+++ b/tests/membership/service_test.cpp
@@ -188,10 +188,11 @@
   std::map<std::string, UpstreamState> list;
   int told = 0;
   // One server that the sidecar knew from before, and that is no more.
-  const auto known = platform.ReadList(net::ListText(1, true, {net::ServerLine("old", "127.0.0.1:9999")}));
+  const auto known =
+      platform.ParseServerList(net::ListText(1, true, {net::ServerLine("old", "127.0.0.1:9999")}));
   list["old"] = UpstreamState::kReady;
   const auto source = net::MakeSource(loop, platform, config, *known, counters, *log,
-                                      {[&](const net::ListedChange& change, ListUpdate) {
+                                      {[&](const net::ServerListChange& change, ListUpdate) {
                                          ++told;
                                          for (const auto& s : change.servers) list[s.id] = s.state;
                                        },
@@ -276,7 +277,7 @@
     config.membership->session = 2000ms;
     config.membership->register_path = "/front-1";
     source = net::MakeSource(loop, platform, config, {}, counters, *log,
-                             {[](const net::ListedChange&, ListUpdate) {}, [](const std::string&) {}});
+                             {[](const net::ServerListChange&, ListUpdate) {}, [](const std::string&) {}});
     source->Watch(true);
   }
   net::Config config;
@@ -331,7 +332,7 @@
   std::map<std::string, UpstreamState> list;
   int taken_back = 0, elsewhere = 0;
   const auto source = net::MakeSource(loop, platform, config, {}, counters, *log,
-                                      {[&](const net::ListedChange& change, ListUpdate) {
+                                      {[&](const net::ServerListChange& change, ListUpdate) {
                                          for (const net::ListedServer& s : change.servers) {
                                            const auto known = list.find(s.id);
                                            const bool back = known != list.end() &&
@@ -384,7 +385,7 @@
   config.membership->path = path;
   std::vector<size_t> lists;
   const auto source = net::MakeSource(loop, platform, config, {}, counters, *log,
-                                      {[&](const net::ListedChange& change, ListUpdate kind) {
+                                      {[&](const net::ServerListChange& change, ListUpdate kind) {
                                          CHECK(kind == ListUpdate::kComplete);
                                          lists.push_back(change.servers.size());
                                        },
--- a/tests/net/parser_test.cpp
+++ b/tests/net/parser_test.cpp
@@ -17,12 +17,12 @@
   const std::string text = "POST /api?x=1 HTTP/1.1\r\nA: b\r\nContent-Length: 5\r\n\r\nhello";
   for (size_t step : {1u, 2u, 7u, 1000u}) {
     HttpParser parser(HttpParser::Kind::kRequest);
-    Parsed parsed = Parsed::kMore;
+    ParseResult parsed = ParseResult::kIncomplete;
     for (size_t at = 0; at < text.size(); at += step) {
       size_t used = 0;
       parsed = parser.Feed(std::string_view(text).substr(at, step), &used);
     }
-    REQUIRE(parsed == Parsed::kComplete);
+    REQUIRE(parsed == ParseResult::kComplete);
     const Message message = parser.Take();
     CHECK(message.method == "POST");
     CHECK(message.target == "/api?x=1");
@@ -34,18 +34,19 @@
 
 TEST_CASE("input that is no message, or too long, is told apart", "[http]") {
   const std::string head = "GET /api HTTP/1.1\r\n";
-  const std::vector<std::pair<std::string, Parsed>> cases = {
-      {"\x16\x03\x01 hello\r\n\r\n", Parsed::kMalformed},
-      {"GET /api HTTP/9.x\r\n\r\n", Parsed::kMalformed},
-      {head + "Content-Length: -1\r\n\r\n", Parsed::kMalformed},
-      {head + "Content-Length: 1\r\nContent-Length: 2\r\n\r\n", Parsed::kMalformed},
-      {head + "A: " + std::string(kMostHead, 'a') + "\r\n\r\n", Parsed::kHeadTooLong},
-      {"GET /" + std::string(kMostHead, 'a') + " HTTP/1.1\r\n\r\n", Parsed::kHeadTooLong},
-      {"POST /api HTTP/1.1\r\nContent-Length: 65537\r\n\r\n", Parsed::kBodyTooLong},
+  const std::vector<std::pair<std::string, ParseResult>> cases = {
+      {"\x16\x03\x01 hello\r\n\r\n", ParseResult::kMalformed},
+      {"GET /api HTTP/9.x\r\n\r\n", ParseResult::kMalformed},
+      {head + "Content-Length: -1\r\n\r\n", ParseResult::kMalformed},
+      {head + "Content-Length: 1\r\nContent-Length: 2\r\n\r\n", ParseResult::kMalformed},
+      {head + "A: " + std::string(kMaxHeadBytes, 'a') + "\r\n\r\n", ParseResult::kHeadTooLong},
+      {"GET /" + std::string(kMaxHeadBytes, 'a') + " HTTP/1.1\r\n\r\n", ParseResult::kHeadTooLong},
+      {"POST /api HTTP/1.1\r\nContent-Length: 65537\r\n\r\n", ParseResult::kBodyTooLong},
       {"POST /api HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n10001\r\n" + std::string(65537, 'a'),
-       Parsed::kBodyTooLong},
-      {"POST /api HTTP/1.1\r\nContent-Length: 65536\r\n\r\n" + std::string(65536, 'a'), Parsed::kComplete},
-      {head + "A: b\r\n", Parsed::kMore},
+       ParseResult::kBodyTooLong},
+      {"POST /api HTTP/1.1\r\nContent-Length: 65536\r\n\r\n" + std::string(65536, 'a'),
+       ParseResult::kComplete},
+      {head + "A: b\r\n", ParseResult::kIncomplete},
   };
   for (const auto& [text, expected] : cases) {
     INFO(text.substr(0, 60));
@@ -86,8 +87,9 @@
     INFO(head);
     HttpParser parser(HttpParser::Kind::kRequest);
     size_t used = 0;
-    const Parsed parsed = parser.Feed("POST /api HTTP/1.1\r\n" + head + "\r\n\r\n0\r\n\r\nGET /api", &used);
-    CHECK((parsed == Parsed::kMalformed || parsed == Parsed::kBodyTooLong));
+    const ParseResult parsed =
+        parser.Feed("POST /api HTTP/1.1\r\n" + head + "\r\n\r\n0\r\n\r\nGET /api", &used);
+    CHECK((parsed == ParseResult::kMalformed || parsed == ParseResult::kBodyTooLong));
   }
 }
 
@@ -98,7 +100,7 @@
       "POST /api HTTP/1.1\r\nA:  b \t \r\nB:\t\r\nTransfer-Encoding: chunked \r\n\r\n2;x=1\r\nok\r\n0\r\nA: "
       "c\r\n\r\n";
   size_t used = 0;
-  REQUIRE(parser.Feed(text, &used) == Parsed::kComplete);
+  REQUIRE(parser.Feed(text, &used) == ParseResult::kComplete);
   const Message message = parser.Take();
   CHECK(*message.Find("A") == "b");
   CHECK(message.Find("B")->empty());
@@ -119,42 +121,43 @@
   for (const auto& [text, until_close] : texts) {
     for (const size_t step : {size_t{1}, size_t{777}, size_t{16384}}) {
       HttpParser parser(HttpParser::Kind::kResponse);
-      parser.PassLongBodies();
+      parser.StreamLongBodies();
       std::string got;
       size_t most = 0;
       bool headed = false;
-      Parsed parsed = Parsed::kMore;
+      ParseResult parsed = ParseResult::kIncomplete;
       for (size_t at = 0; at < text.size(); at += step) {
         size_t used = 0;
         parsed = parser.Feed(std::string_view(text).substr(at, step), &used);
-        REQUIRE((parsed == Parsed::kMore || parsed == Parsed::kComplete));
-        if (!parser.is_long()) continue;
+        REQUIRE((parsed == ParseResult::kIncomplete || parsed == ParseResult::kComplete));
+        if (!parser.is_streaming()) continue;
         if (!std::exchange(headed, true)) CHECK(parser.TakeHead().status == 200);
-        const std::string piece = parser.TakePiece();
+        const std::string piece = parser.TakeBodyPart();
         most = std::max(most, piece.size());
         got += piece;
       }
-      CHECK((parsed == Parsed::kComplete) == !until_close);
-      if (until_close) CHECK(parser.FeedEnd() == Parsed::kComplete);
+      CHECK((parsed == ParseResult::kComplete) == !until_close);
+      if (until_close) CHECK(parser.FeedEnd() == ParseResult::kComplete);
       CHECK(got == body);
-      CHECK(most <= kMostBody + step);
+      CHECK(most <= kMaxBufferedBody + step);
       CHECK(parser.Take().body.empty());
     }
   }
   HttpParser parser(HttpParser::Kind::kResponse);
-  parser.PassLongBodies();
+  parser.StreamLongBodies();
   size_t used = 0;
-  CHECK(parser.Feed("HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\n", &used) == Parsed::kBodyTooLong);
+  CHECK(parser.Feed("HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\n", &used) ==
+        ParseResult::kBodyTooLong);
   HttpParser cut(HttpParser::Kind::kResponse);
-  CHECK(cut.Feed("HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nok", &used) == Parsed::kMore);
-  CHECK(cut.FeedEnd() == Parsed::kMalformed);
+  CHECK(cut.Feed("HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nok", &used) == ParseResult::kIncomplete);
+  CHECK(cut.FeedEnd() == ParseResult::kMalformed);
 }
 
 TEST_CASE("chunks in a request of HTTP/1.0 are malformed", "[http]") {
   HttpParser parser(HttpParser::Kind::kRequest);
   size_t used = 0;
   CHECK(parser.Feed("POST /api HTTP/1.0\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n", &used) ==
-        Parsed::kMalformed);
+        ParseResult::kMalformed);
 }
 
 TEST_CASE("asking for another protocol changes nothing", "[http]") {
@@ -164,7 +167,7 @@
                              " HTTP/1.1\r\nConnection: Upgrade\r\nUpgrade: x\r\nContent-Length: 2\r\n\r\n"
                              "okGET";
     size_t used = 0;
-    REQUIRE(parser.Feed(text, &used) == Parsed::kComplete);
+    REQUIRE(parser.Feed(text, &used) == ParseResult::kComplete);
     CHECK(parser.Take().body == "ok");
     CHECK(used == text.size() - 3);
   }
@@ -174,30 +177,31 @@
 TEST_CASE("an answer is whole, spoilt or goes on", "[http]") {
   const std::string interim = "HTTP/1.1 100 Continue\r\n\r\n";
   std::string many;
-  for (int i = 0; i <= kMostInterim; ++i) many += interim;
+  for (int i = 0; i <= kMaxInterimResponses; ++i) many += interim;
   const std::string good = "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n";
-  const std::vector<std::pair<std::string, Parsed>> cases = {
-      {"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok", Parsed::kComplete},
-      {"HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nok", Parsed::kMore},
-      {"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nok\r\n", Parsed::kMore},
-      {"HTTP/1.1 200 OK\r\n\r\nok", Parsed::kMore},
-      {interim + good, Parsed::kComplete},
-      {interim, Parsed::kMore},
-      {many + good, Parsed::kMalformed},
-      {"", Parsed::kMore},
-      {"HTTP/1.1 2x0 OK\r\nContent-Length: 0\r\n\r\n", Parsed::kMalformed},
-      {"ICY 200 OK\r\nContent-Length: 0\r\n\r\n", Parsed::kMalformed},
-      {"HTTP/1.1 200 OK\r\nno colon here\r\n\r\n", Parsed::kMalformed},
-      {"HTTP/1.1 200 OK\r\nContent-Length: 2\r\nTransfer-Encoding: chunked\r\n\r\nok", Parsed::kMalformed},
-      {"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\nok", Parsed::kMalformed},
-      {"HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\n", Parsed::kBodyTooLong},
+  const std::vector<std::pair<std::string, ParseResult>> cases = {
+      {"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok", ParseResult::kComplete},
+      {"HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nok", ParseResult::kIncomplete},
+      {"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nok\r\n", ParseResult::kIncomplete},
+      {"HTTP/1.1 200 OK\r\n\r\nok", ParseResult::kIncomplete},
+      {interim + good, ParseResult::kComplete},
+      {interim, ParseResult::kIncomplete},
+      {many + good, ParseResult::kMalformed},
+      {"", ParseResult::kIncomplete},
+      {"HTTP/1.1 2x0 OK\r\nContent-Length: 0\r\n\r\n", ParseResult::kMalformed},
+      {"ICY 200 OK\r\nContent-Length: 0\r\n\r\n", ParseResult::kMalformed},
+      {"HTTP/1.1 200 OK\r\nno colon here\r\n\r\n", ParseResult::kMalformed},
+      {"HTTP/1.1 200 OK\r\nContent-Length: 2\r\nTransfer-Encoding: chunked\r\n\r\nok",
+       ParseResult::kMalformed},
+      {"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\nok", ParseResult::kMalformed},
+      {"HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\n", ParseResult::kBodyTooLong},
   };
   for (const auto& [text, expected] : cases) {
     INFO(text);
     HttpParser parser(HttpParser::Kind::kResponse);
     size_t used = 0;
     CHECK(parser.Feed(text, &used) == expected);
-    if (expected == Parsed::kComplete) CHECK(parser.Take().status == 200);
+    if (expected == ParseResult::kComplete) CHECK(parser.Take().status == 200);
   }
 }
 
@@ -234,19 +238,20 @@
     Message answer;
     answer.headers = {{"X-Server-Load", bad}};
     INFO(bad);
-    CHECK_FALSE(platform.ReportIn(answer));
+    CHECK_FALSE(platform.ParseLoadReport(answer));
   }
   Message answer;
   answer.headers = {{"X-Server-Load", R"({"inflight":7,"queue":2,"util":0.61})"}};
-  REQUIRE(platform.ReportIn(answer));
-  CHECK(platform.ReportIn(answer)->in_flight == 7);
-  CHECK(platform.ReportIn(answer)->queue == 2);
-  CHECK_FALSE(platform.ReportIn(answer)->utilization);
+  REQUIRE(platform.ParseLoadReport(answer));
+  CHECK(platform.ParseLoadReport(answer)->in_flight == 7);
+  CHECK(platform.ParseLoadReport(answer)->queue == 2);
+  CHECK_FALSE(platform.ParseLoadReport(answer)->utilization);
 
-  for (const char* bad : {"", "x", "[]", "{}", R"({"servers":7})"}) CHECK_FALSE(platform.ReadList(bad));
-  const auto list = platform.ReadList(ListText(43, false,
-                                               {ServerLine("a", "127.0.0.1:9", "draining", "west"),
-                                                ServerLine("b", "nowhere"), "7", R"({"id":"c"})"}));
+  for (const char* bad : {"", "x", "[]", "{}", R"({"servers":7})"})
+    CHECK_FALSE(platform.ParseServerList(bad));
+  const auto list = platform.ParseServerList(ListText(43, false,
+                                                      {ServerLine("a", "127.0.0.1:9", "draining", "west"),
+                                                       ServerLine("b", "nowhere"), "7", R"({"id":"c"})"}));
   REQUIRE(list);
   CHECK(list->version == 43);
   CHECK_FALSE(list->full);
--- a/tests/net/rules_test.cpp
+++ b/tests/net/rules_test.cpp
@@ -171,9 +171,9 @@
 // Guards against the end of one answer being read as the next one's beginning.
 TEST_CASE("what follows an answer is never another flow's answer", "[rules]") {
   Site site(1);
-  const std::string copy = WriteAnswer(200, {}, "first", true);
+  const std::string copy = WriteResponse(200, {}, "first", true);
   site.Script([&](Party::Peer& peer) {
-    peer.Reply(site.Requests() == 1 ? copy : WriteAnswer(200, {}, "second", true));
+    peer.Reply(site.Requests() == 1 ? copy : WriteResponse(200, {}, "second", true));
   });
   CHECK(site.Ask(Look()).body == "first");
   REQUIRE(site.real[0]->peers.size() == 1);
@@ -282,8 +282,9 @@
   const Platform platform(config);
   ServiceEntry entry(counters, [](const ListChange&) {});
   for (int i = 0; i < 1000; ++i) {
-    entry.Take(*platform.ReadList(ListText(i, true, {ServerLine("s" + std::to_string(i), "127.0.0.1:9")})),
-               ListUpdate::kCached);
+    entry.Take(
+        *platform.ParseServerList(ListText(i, true, {ServerLine("s" + std::to_string(i), "127.0.0.1:9")})),
+        ListUpdate::kCached);
     entry.Forget(Clock::now() + 1s);
   }
   CHECK(entry.size() == 1);
--- a/tests/net/site.h
+++ b/tests/net/site.h
@@ -56,9 +56,9 @@
   void OnData(std::string_view bytes) override {
     while (!bytes.empty()) {
       size_t used = 0;
-      const Parsed parsed = parser_.Feed(bytes, &used);
-      if (parsed == Parsed::kComplete) answers.push_back(parser_.Take());
-      if (parsed != Parsed::kComplete && parsed != Parsed::kMore) return stream.Close();
+      const ParseResult parsed = parser_.Feed(bytes, &used);
+      if (parsed == ParseResult::kComplete) answers.push_back(parser_.Take());
+      if (parsed != ParseResult::kComplete && parsed != ParseResult::kIncomplete) return stream.Close();
       bytes.remove_prefix(used);
     }
   }
--- a/tests/passing/passing_test.cpp
+++ b/tests/passing/passing_test.cpp
@@ -62,15 +62,15 @@
       size_t used = 0;
       parsed = parser.Feed(bytes, &used);
       bytes.remove_prefix(used);
-      if (parsed != Parsed::kComplete) break;
+      if (parsed != ParseResult::kComplete) break;
       heads.push_back(parser.Take());
-      if (answer) peer->Write(WriteAnswer(200, {}, std::to_string(body.size()), true));
+      if (answer) peer->Write(WriteResponse(200, {}, std::to_string(body.size()), true));
     }
   }
   void OnEnd() override { ended = true; }
   std::unique_ptr<Stream> peer;
   HttpParser parser{HttpParser::Kind::kRequest};
-  Parsed parsed = Parsed::kMore;
+  ParseResult parsed = ParseResult::kIncomplete;
   std::string body;
   std::vector<Message> heads;
   bool answer = true;
@@ -267,15 +267,15 @@
       std::string got;
       parser.StreamBodyTo([&](std::string_view piece) { got.append(piece); });
       size_t fed = 0;
-      Parsed parsed = Parsed::kMore;
+      ParseResult parsed = ParseResult::kIncomplete;
       REQUIRE(site.Until([&] {
         size_t used = 0;
         if (fed < client.got.size()) parsed = parser.Feed(std::string_view(client.got).substr(fed), &used);
         fed += used;
-        if (client.ended && parsed == Parsed::kMore) parsed = parser.FeedEnd();
-        return parsed != Parsed::kMore;
+        if (client.ended && parsed == ParseResult::kIncomplete) parsed = parser.FeedEnd();
+        return parsed != ParseResult::kIncomplete;
       }));
-      CHECK(parsed == Parsed::kComplete);
+      CHECK(parsed == ParseResult::kComplete);
       CHECK(got == body);
       CHECK(parser.message().Find("X-Lot") != nullptr);
       CHECK(site.sidecar->counters().Of("flows_served") == 1);
