--- a/src/decide/choice.cpp
+++ b/src/decide/choice.cpp
@@ -1,8 +1,10 @@
-// All decisions of umberdyke. The types, events and actions stand in include/umberdyke/balancer.h.
+// All decisions of umberdyke. include/umberdyke/balancer.h declares their types, events and actions.
 //
-// The ordinary path is BLOC: answers mint chips from the reported count of requests, a pick draws two servers
-// among those with a chip or long unheard and takes the one with fewer own calls in flight, and a refused
-// call goes to a new pick. All else is an exception for when that breaks; docs/design.md says when each acts.
+// Chips are the term of the BLOC paper: credits for sends that an upstream earns from the load it reports.
+// The ordinary path is BLOC: responses mint chips from the reported count of requests. A pick draws two
+// upstreams (power of two choices) among those with a chip or without a response for long, and takes the one
+// with fewer own attempts in flight. A rejected attempt goes to a new pick. Everything else handles cases in
+// which this fails; docs/design.md says when each rule applies.
 #include <algorithm>
 #include <cmath>
 #include <limits>
@@ -16,93 +18,97 @@
 namespace umberdyke {
 namespace {
 
-// --- Chips and capacity (the paper's figures where it has them) ---
-constexpr double kChipLoadShare = 0.8;       // chips run out at this share of capacity, as in the paper
-constexpr double kMaxChips = 4;              // older chips speak of a load long gone
-constexpr Micros kChipLifetime = 2'000'000;  // queues come and go in a second or two
-constexpr double kCapacityOverMean =
-    2.5;                            // capacity over the mean count: one at the mean mints every second time
-constexpr double kMinCapacity = 4;  // a few requests are no load, whatever the mean says
-constexpr Micros kLoadWindow = 10'000'000;  // window of the mean; 30 s spans whole incidents
-constexpr int kForgetAfterWindows = 3;      // after so many windows a server that has gone is forgotten
-constexpr int kMaxDraws = 6;                // draws for one of the two, then the fallback
-constexpr size_t kRecentlyServedSends =
-    12;  // own sends within which a server must have served to be familiar
-constexpr double kRandomPickShare =
-    0.04;  // share of thin picks that go to any server, near or far, as a trial
-constexpr double kProbeWaitShare = 0.01;          // a request waits for its checks for this share of the aim
-constexpr size_t kMaxProbes = 6;                  // servers that one request asks, two at a time
-constexpr double kMaxProbeCost = 0.02;            // no more asking than costs this much of the result
-constexpr double kTrialIntervalRounds = 6;        // reset interval, in turns of own sends over all upstreams
-constexpr Micros kMinTrialInterval = 100'000;     // a trial at most this often
-constexpr Micros kMaxTrialInterval = 10'000'000;  // and at least this often
-constexpr double kMaxLocalLoad = 1.2;  // a near server is preferred up to this multiple of the mean count
-constexpr double kLoadGain = 0.4;      // weight of a new report: reports are noisy, and late
+// --- Chips and capacity estimate (values of the BLOC paper where it gives them) ---
+constexpr double kChipLoadShare = 0.8;  // no chips from this share of the capacity estimate on, as in BLOC
+constexpr double kMaxChips = 4;         // older chips reflect a load that is long past
+constexpr Micros kChipLifetime = 2'000'000;  // queues build and drain within a second or two
+// Capacity estimate as a multiple of the mean load; a load at the mean then mints a chip for every second
+// response.
+constexpr double kCapacityOverMean = 2.5;
+constexpr double kMinCapacity = 4;           // requests; so few are no load, whatever the mean load is
+constexpr Micros kLoadWindow = 10'000'000;   // averaging window of the load; 30 s would span whole incidents
+constexpr int kForgetAfterWindows = 3;       // an upstream that has been gone for longer is removed
+constexpr int kMaxDraws = 6;                 // for each of the two candidates, before the fallback
+constexpr size_t kRecentlyServedSends = 12;  // a success within the time of this many own sends is recent
+constexpr double kRandomPickShare = 0.04;    // of sparse-traffic picks: a trial of any upstream in any zone
+constexpr double kProbeWaitShare = 0.01;     // longest wait for probe results, as a share of the aim
+constexpr size_t kMaxProbes = 6;             // for one request, sent two at a time
+constexpr double kMaxProbeCost = 0.02;  // no probing if kMaxProbes probes cost more of the result than this
+constexpr double kTrialIntervalRounds = 6;  // trial interval, in rounds of one own send per upstream
+constexpr Micros kMinTrialInterval = 100'000;
+constexpr Micros kMaxTrialInterval = 10'000'000;
+constexpr double kMaxLocalLoad = 1.2;  // a local upstream is preferred up to this multiple of the mean load
+constexpr double kLoadGain = 0.4;      // EWMA weight of a new load report: reports are noisy and arrive late
 // --- Health ---
-constexpr double kLatencyGain = 0.1;              // weight of one answer in the mean latency
-constexpr Micros kMaxAvoidDuration = 30'000'000;  // for a class; doubling from the reset interval
-constexpr double kStallFactor = 4;                // silent for this many mean latencies: stalled
-constexpr Micros kMinStallTime = 150'000;         // no silence shorter than this is held against an upstream
+// EWMA weight of one attempt in a zone's failure share and in the mean aim; the mean latency uses a quarter
+// of it.
+constexpr double kLatencyGain = 0.1;
+constexpr Micros kMaxAvoidDuration = 30'000'000;  // by one class; doubles from the trial interval up to this
+constexpr double kStallFactor = 4;         // an upstream silent for this many mean latencies is stalled
+constexpr Micros kMinStallTime = 150'000;  // a shorter silence is not counted against an upstream
 constexpr Micros kMinEjectionDuration = 1'000'000;
 constexpr Micros kMaxEjectionDuration = 8'000'000;
-constexpr double kMaxEjectedShare = 0.5;  // eject at most this share: beyond it the trouble is a shared one
-constexpr double kZonePenalty = 2.5;      // a zone is drawn less by this, for each share of calls gone wrong
-constexpr int kMaxZone = 255;             // zones numbered higher share a record
-constexpr double kNoZoneData = std::numeric_limits<double>::infinity();  // one without servers: no measure
-constexpr double kMinZoneFactor =
-    0.03;  // but never less than this: what is not tried is never found well again
-// --- Further attempts ---
-constexpr double kRetryTokensPerRequest = 0.15;  // attempts that may repeat work, for each request
-constexpr double kMaxRetryTokens = 10;           // how many may come at once
-constexpr double kMinTimeLeftFactor = 0.5;  // no attempt with less left than this share of the mean latency
-// --- Requests at fault ---
-constexpr double kGroupGain = 0.25;    // weight of one outcome: with few calls two in a row have to tell
-constexpr double kSuspectShare = 0.3;  // share of failures from which on a kin may be at fault
-constexpr int kFewResponses = 3;       // a kin with no more answers than this is no measure for another
-constexpr double kFailingShare = 0.7;  // share of late ones from which on more of them are in vain
+constexpr double kMaxEjectedShare = 0.5;  // of the ready upstreams; if more fail, the cause is a shared one
+constexpr double kZonePenalty = 2.5;      // draw probability lost per failure share above the best zone
+constexpr int kMaxZone = 255;             // zones with higher numbers share one record
+constexpr double kNoZoneData = std::numeric_limits<double>::infinity();  // a zone without upstreams
+constexpr double kMinZoneFactor = 0.03;  // least draw factor: an untried zone is never found healthy again
+// --- Retry budget ---
+constexpr double kRetryTokensPerRequest = 0.15;  // attempts that may repeat work, earned by each request
+constexpr double kMaxRetryTokens = 10;           // largest burst of such attempts
+constexpr double kMinTimeLeftFactor = 0.5;       // least time for an attempt, as a share of the mean latency
+// --- Request groups whose calls fail together ---
+constexpr double kGroupGain = 0.25;  // EWMA weight of one outcome; with few calls two in a row must be enough
+constexpr double kSuspectShare = 0.3;  // share of errors or late requests from which a group may be at fault
+constexpr int kFewResponses = 3;       // a group with no more responses than this is not used for comparison
+constexpr double kFailingShare = 0.7;  // share of late requests from which more of the group are useless
 constexpr Micros kMaxBlockDuration = 16'000'000;
-// --- Admission ---
-constexpr double kTargetAimShare = 0.45;  // mean answer time that the limit allows, as a share of the aim
-constexpr double kTargetOverBaseline =
-    1.6;  // or this multiple of the quiet answer time, where that is longer
-constexpr double kMaxTargetOverBaseline = 2.5;  // nor a larger multiple: servers choke by what they hold
-constexpr double kMaxTargetAimShare = 0.6;      // but never more of the aim: a crowded start passes for quiet
-constexpr double kThroughputMemory = 1e6;       // memory of the rate of answers
-constexpr double kSlowLatencyGain = 0.02;       // the quiet answer time is the least of a mean this steady
-constexpr double kBaselineRise = 1.002;  // a step up of the quiet answer time: it forgets in half a minute
-constexpr double kStartLimitPerUpstream =
-    6;                                     // in hand before any answer, for each upstream, over all balancers
-constexpr double kStartLimitGrowth = 0.1;  // room that each of the first answers makes beyond its own
-constexpr double kStartupSuccesses = 50;   // answers that make the start: the first are the quick ones
-constexpr double kSlackSuccesses = 12;     // answers after which the time taken tells a crowd from chance
-constexpr double kChanceDeviations = 2;   // chance crowds of a few in hand: so many roots of the limit, and 1
-constexpr double kRequestTimeGain = 0.1;  // weight of one request in the recent time that requests take
-constexpr double kMaxRequestTimeGain = 0.5;  // where few are let in each stands for many, up to this weight
-constexpr double kRejectGain = 6;            // share refused for each multiple of the allowed time beyond it
-constexpr double kSmallLimit = 6;            // with a limit of so many the limit does half of that by itself
-constexpr double kMaxRejectShare = 0.95;  // always let some work through: without answers nothing is learnt
-constexpr double kRetryAfterAimShare =
-    0.2;  // the refused are asked back after this share of the aim, or half off it
-constexpr double kBaselineMargin = 1.2;  // no class is refused below this multiple of the quiet answer time
-constexpr double kWorthSpread = 0.3;     // the worthless are refused at this share below the limit
+// --- Admission limit and load shedding ---
+// Target of the mean request time: kTargetAimShare of the aim, or kTargetOverBaseline times the baseline
+// latency if that is longer.
+constexpr double kTargetAimShare = 0.45;
+constexpr double kTargetOverBaseline = 1.6;
+constexpr double kMaxTargetOverBaseline = 2.5;  // caps the first: upstreams choke on held requests
+constexpr double kMaxTargetAimShare = 0.6;    // caps the second: an overloaded start looks like the baseline
+constexpr double kThroughputMemory = 1e6;     // decay time of the success rate, microseconds
+constexpr double kSlowLatencyGain = 0.02;     // EWMA weight; the baseline is the minimum of a mean this slow
+constexpr double kBaselineRise = 1.002;       // per housekeeping; the baseline forgets in half a minute
+constexpr double kStartLimitPerUpstream = 6;  // requests before any response, over all instances
+constexpr double kStartLimitGrowth = 0.1;     // added to the start limit by each success
+constexpr double kStartupSuccesses = 50;      // end the start; the first responses are the quick ones
+constexpr double kSlackSuccesses = 12;        // from here on the request time tells overload from chance
+// The limit leaves slack for chance bursts: this many standard deviations (square roots of the limit),
+// plus 1.
+constexpr double kChanceDeviations = 2;
+constexpr double kRequestTimeGain = 0.1;     // EWMA weight of one request in the mean request time
+constexpr double kMaxRequestTimeGain = 0.5;  // cap, since each request stands for many where few are admitted
+constexpr double kRejectGain = 6;  // share rejected per multiple of the target time beyond the target
+constexpr double kSmallLimit = 6;  // at this limit kRejectGain is halved: the limit itself does the rest
+constexpr double kMaxRejectShare = 0.95;     // always admit some: nothing is learnt without responses
+constexpr double kRetryAfterAimShare = 0.2;  // clients are told to retry after this share of the aim, +-50%
+constexpr double kBaselineMargin = 1.2;      // no class is shed below this multiple of the baseline latency
+constexpr double kWorthSpread = 0.3;         // requests of no worth are shed this share below the limit
 // --- Housekeeping ---
 constexpr Micros kNever = std::numeric_limits<Micros>::max();
-constexpr Micros kHousekeepingInterval = 100'000;  // pace of windows, limits and stalled checks
+constexpr Micros kHousekeepingInterval = 100'000;  // between updates of windows, rates and limits
+// Timer tokens; all others are request ids.
 constexpr std::uint64_t kHousekeepingToken = std::uint64_t{1} << 60;
 constexpr std::uint64_t kListRetryToken = kHousekeepingToken + 1;
 constexpr std::uint64_t kQueueToken = kHousekeepingToken + 2;
 constexpr std::uint64_t kProbeToken = kHousekeepingToken + 3;
-constexpr Micros kQueueInterval = 20'000;  // how often held requests look for a server
-constexpr double kMaxQueueTimeShare =
-    0.45;  // and for how much of their time: from half on an unsent one costs more
+constexpr Micros kQueueInterval = 20'000;  // how often queued requests look for an upstream
+// Longest time in the queue, as a share of the request's time; from half of it on, an unsent request costs
+// more.
+constexpr double kMaxQueueTimeShare = 0.45;
 constexpr Micros kMinListRetryDelay = 500'000;
-constexpr Micros kMaxListRetryDelay = 1'500'000;  // what discovery tells when it is back counts 6 s later
-constexpr double kRateMemory = 8e6;               // memory of the rate that warm upstreams take
-constexpr double kPeakRateMemory =
-    60e6;  // and how long it lasts when they take less: a jam is no measure of them
-constexpr double kColdRateShare = 0.5;  // a cold one is sent this part of its least share of that rate
-constexpr double kMaxFallMultipleShare =
-    0.75;  // and more where warm ones are lost, up to this part of the rule's figure
+// A list change must take effect within 6 s after discovery can be reached again.
+constexpr Micros kMaxListRetryDelay = 1'500'000;
+constexpr double kRateMemory = 8e6;       // decay time of rates and recent sums, microseconds
+constexpr double kPeakRateMemory = 60e6;  // of the peak warm rate; a rate under overload does not replace it
+// A cold upstream is sent at least this multiple of its share of the peak warm rate. If the warm upstreams
+// cannot take the traffic, it is sent more, up to kMaxFallMultipleShare of the setting fall_multiple.
+constexpr double kColdRateShare = 0.5;
+constexpr double kMaxFallMultipleShare = 0.75;
 
 }  // namespace
 
@@ -118,7 +124,7 @@
     Validate(settings);
     for (const RequestClass& c : settings_.classes) max_points_ = std::max(max_points_, c.points);
     last_housekeeping_ = window_start_ = now;
-    // Instances that start together must not work in step.
+    // Instances that start together must not run housekeeping in the same instant.
     SetTimerIn(1 + random_.Below(kHousekeepingInterval), kHousekeepingToken);
     if (settings_.must_ask) out_->push_back(Subscribe{});
   }
@@ -129,7 +135,7 @@
     return *this;
   }
 
-  // --- The list ---
+  // --- Upstream list ---
 
   void OnList(ListUpdate kind, const std::vector<UpstreamEntry>& entries) {
     if (kind == ListUpdate::kFailed) {
@@ -202,7 +208,7 @@
       attempt->may_have_run = !ProvesNeverRan(end.outcome);
       --active->open_attempts;
     }
-    CloseIdleIfDraining(u);  // the connection that this attempt leaves, however late after the notice
+    CloseIdleIfDraining(u);  // even if this attempt ends long after the drain began
     RecordOutcome(u, end, attempt, active);
     if (active == nullptr) return;
     if (end.settled) {
@@ -272,16 +278,17 @@
   const RequestClass& ClassOf(const ActiveRequest& active) const {
     return settings_.classes[active.request.request_class];
   }
-  Micros TimerMargin() const { return 2 * settings_.tick; }  // timers fire up to a tick late
+  Micros TimerMargin() const { return 2 * settings_.tick; }  // timers fire up to one tick late
   void SetTimerIn(Micros delay, std::uint64_t token) { out_->push_back(SetTimer{delay, token}); }
   int Find(UpstreamId id) const {
     const auto it = index_by_id_.find(id);
     return it == index_by_id_.end() ? kNoUpstream : it->second;
   }
 
-  // --- The list ---
+  // --- Upstream list ---
 
-  // Takes one line of a list. A new start of a known id is a new server: nothing learnt of the old one holds.
+  // Merges one entry of a list and returns its index. An id with a later start time is a new process: what
+  // was learnt about the old one is dropped.
   int MergeEntry(const UpstreamEntry& entry) {
     auto [it, is_new] = index_by_id_.try_emplace(entry.id, static_cast<int>(upstreams_.size()));
     if (is_new && !free_slots_.empty()) {
@@ -297,16 +304,17 @@
       up.classes.resize(settings_.classes.size());
       up.in_flight = previous.in_flight;
       up.in_chip_holders = previous.in_chip_holders;
-      // Instances must not all draw their first at once.
+      // Spread, since instances must not all spend their first cold sends at once.
       up.cold_interval_end = now_ + static_cast<Micros>(random_.Unit() * static_cast<double>(ColdInterval()));
       up.last_response_or_trial =
-          is_new && entry.ready_at == 0 ? 0 : now_;  // nothing known: everyone may be tried
+          is_new && entry.ready_at == 0 ? 0 : now_;  // no recent start: may be tried at once
       up.last_response = now_;
     }
     if (!is_new && entry.state == UpstreamState::kGone) {
       MarkGone(up);
     } else {
-      const Micros ready_at = std::max(entry.ready_at, up.entry.ready_at);  // an old list unlearns no start
+      // An old list must not undo a start.
+      const Micros ready_at = std::max(entry.ready_at, up.entry.ready_at);
       up.entry = entry;
       up.entry.ready_at = ready_at;
       up.unlisted = false;
@@ -317,8 +325,8 @@
     return it->second;
   }
 
-  // Guards the memory against servers that are replaced all day: one that is long gone, with no call out, is
-  // forgotten, and its place is free for another.
+  // Removes an upstream that is long gone and has no attempt in flight, and frees its slot. Without this,
+  // memory would grow as upstreams are replaced.
   void ForgetIfLongGone(int u) {
     Upstream& up = upstreams_[u];
     if (up.free_slot) return;
@@ -333,36 +341,38 @@
     free_slots_.push_back(u);
   }
 
-  // Where only draining binds, the list is one witness among others: what was in good standing is sent to
-  // until a call or check there fails. Guards against lists that are emptied, cut short or old.
+  // Marks an upstream that left the list. With only_draining_binds a healthy one is still sent to until an
+  // attempt or check fails there, since the list may have been emptied, cut short or outdated.
   void MarkGone(Upstream& up) {
     const bool drained = up.entry.state != UpstreamState::kReady;
     up.unlisted = settings_.only_draining_binds && !drained && up.ejection_duration == 0;
     if (!up.unlisted) up.entry.state = UpstreamState::kGone;
   }
 
-  // Where the settings ask for it; at the notice and after each outcome there. Nothing is sent in between.
+  // Asks the host to close idle connections to a draining upstream, if the settings require it: when the
+  // drain begins and after each outcome there. Nothing is sent to it in between.
   void CloseIdleIfDraining(int u) {
     if (settings_.close_idle_within <= 0 || u == kNoUpstream) return;
     const UpstreamEntry& entry = upstreams_[u].entry;
     if (entry.state != UpstreamState::kReady) out_->push_back(CloseIdle{entry.id});
   }
 
-  // Later each time and never in step with the other instances.
+  // Polls the list again after an exponential backoff with jitter.
   void ScheduleListRetry() {
     SetTimerIn(static_cast<Micros>(static_cast<double>(list_retry_delay_) * (0.5 + random_.Unit())),
                kListRetryToken);
     list_retry_delay_ = std::min({2 * list_retry_delay_, settings_.ask_every / 3, kMaxListRetryDelay});
   }
 
-  // --- The ordinary path: chips, capacity, two draws ---
+  // --- Ordinary path: chips, capacity estimate, power of two choices ---
 
-  // The time of as many own sends as there are servers.
+  // Time in which this instance sends once per ready upstream, microseconds; 0: unknown.
   double SendRoundTime() const {
     return send_rate_ > 0 ? static_cast<double>(ready_.size()) / send_rate_ : 0;
   }
 
-  // 0 where every server is heard while its last chip lives, 1 where it takes twice that long.
+  // Above 0 if chips expire before each upstream has been sent to once: 0 if a round takes a chip's
+  // lifetime, 1 if it takes twice that.
   double TrafficSparseness() const { return SendRoundTime() / static_cast<double>(kChipLifetime) - 1; }
 
   double TrialInterval() const {
@@ -370,8 +380,8 @@
                       static_cast<double>(kMaxTrialInterval));
   }
 
-  // The mean reported count over a window, held between the mean of all and half as much again: a long queue
-  // of its own must not pass for capacity, nor a short one wipe the chips.
+  // Capacity estimate in requests, from the upstream's mean load, clamped to between 1 and 1.5 times the
+  // mean over all upstreams: a long queue must not pass for capacity, nor a short one remove all chips.
   double CapacityEstimate(const Upstream& up) const {
     if (mean_load_ <= 0) return 0;
     const double own = up.mean_load > 0 ? up.mean_load : mean_load_;
@@ -381,7 +391,7 @@
 
   void RecordReport(Upstream& up, const LoadReport& report) {
     const std::optional<double> reported = report.in_flight ? report.in_flight : report.queue;
-    const double count = reported.value_or(up.in_flight);  // nothing reported: own calls in flight stand in
+    const double count = reported.value_or(up.in_flight);  // without a report: own attempts in flight
     up.raw_load = count;
     up.load = up.has_load ? up.load + kLoadGain * (count - up.load) : count;
     up.has_load = true;
@@ -404,7 +414,7 @@
     if (!std::exchange(up.in_chip_holders, true)) chip_holders_.push_back(Find(up.entry.id));
   }
 
-  // A chip speaks of the load at its report; one that waited for long says nothing of the load now.
+  // A chip reflects the load at its report, so it expires after kChipLifetime.
   bool HasLiveChip(const Upstream& up) const {
     return IsCold(up) ? up.cold_sends_left > 0 : up.chips >= 1 && now_ - up.last_report < kChipLifetime;
   }
@@ -415,7 +425,8 @@
     chip_holders_.pop_back();
   }
 
-  // A random chip-holder, familiar if one of the first few drawn is, and near too where that is asked for.
+  // Draws a random chip holder. Among the first few draws, one that recently served the class is preferred,
+  // and with `prefer_local` one in the own zone.
   int DrawChipHolder(const ActiveRequest& active, bool prefer_local) {
     int best = kNoUpstream;
     int best_score = -1;
@@ -436,9 +447,10 @@
     return best;
   }
 
-  // Asking first. Where calls are thin and checks cheap, a request asks two servers drawn at random, a
-  // familiar one and any, and goes to the lighter; while neither is lighter than the mean, it asks two more.
-  // Guards against chips that say nothing any more: servers may turn over faster than those live.
+  // Returns whether the request probes before it is sent. Under sparse traffic and with cheap checks it
+  // probes two random upstreams, one that recently served and any other, and goes to the less loaded one. If
+  // neither is below the mean load, it probes two more. Chips alone are outdated then: upstreams may be
+  // replaced faster than chips are renewed.
   bool ProbesFirst(const ActiveRequest& active) const {
     return settings_.may_check && TrafficSparseness() > 0 && active.open_attempts == 0 &&
            settings_.check_price * kMaxProbes <= kMaxProbeCost;
@@ -494,8 +506,8 @@
     }
   }
 
-  // What every send must keep, the fallback's included: the list's word, ejection, the group of a keyed
-  // request that may have run, and what a cold server can take. A further attempt goes elsewhere.
+  // Conditions of every send, including the fallback: list state, ejection, the group of a keyed request
+  // that may have run, and the cold sends left. A further attempt goes to another upstream.
   bool Allowed(int u, const ActiveRequest& active, bool with_ejected = false) const {
     const Upstream& up = upstreams_[u];
     if (!with_ejected && !active.attempts.empty() && active.attempts.back().upstream == u) return false;
@@ -516,10 +528,10 @@
     return ZoneOf(up) < zone_share_.size() ? zone_share_[ZoneOf(up)] : 1;
   }
 
-  // Drawn in proportion to its weight and its zone's part, and the less often the more calls to its zone go
-  // wrong than to the best one. Guards against a bad way to a zone and a zone whose servers are struck
-  // together: each caller finding each server out takes longer than the trouble. Trials go on, and what was
-  // seen fades.
+  // Skips some draws at random: an upstream is drawn in proportion to its weight and its zone's share, and
+  // less often the more attempts to its zone fail than to the best zone. This covers a bad network path to a
+  // zone and a zone whose upstreams fail together: ejecting them one by one would take longer than the fault
+  // lasts. Some trials go on, and the failure share decays.
   bool SkipByWeight(const Upstream& up) {
     const double lowest_failure_share =
         *std::min_element(zone_failure_share_.begin(), zone_failure_share_.end());
@@ -540,19 +552,21 @@
     return kNoUpstream;
   }
 
-  // Near, and not more crowded than most: crossing zones costs time and money, but less than a queue does.
+  // In the own zone and not much above the mean load. Crossing zones costs time and money, but less than a
+  // queue.
   bool LocalAndNotOverloaded(const Upstream& up) const {
     return up.entry.zone == settings_.zone && up.load <= kMaxLocalLoad * mean_load_;
   }
 
-  // Served a call of the class within the last own sends. Guards callers with few calls for many servers
-  // against a handshake for nearly every call and against finding each sick server out anew.
+  // The class succeeded there within the last own sends. With few calls for many upstreams this avoids a
+  // handshake for nearly every call, and finding each failing upstream separately.
   bool RecentlyServed(const Upstream& up, int request_class) const {
     return now_ - up.classes[request_class].last_success < recently_served_time_ &&
            up.classes[request_class].last_success > 0;
   }
 
-  // Fewer own calls in flight; a tie goes to the nearer one, then to a familiar one.
+  // Fewer own attempts in flight; a tie goes to the local upstream, then to one that recently served the
+  // class.
   bool LessLoaded(int a, int b, int c) const {
     const Upstream& x = upstreams_[a];
     const Upstream& y = upstreams_[b];
@@ -561,15 +575,16 @@
     return RecentlyServed(x, c) && !RecentlyServed(y, c);
   }
 
-  // Between two draws a tie goes to the lighter reported count; in the fallback all callers would herd on
-  // one.
+  // Between two draws a tie goes to the lower reported load. The fallback does not use this: all instances
+  // would herd on one upstream.
   bool Preferred(int a, int b, int c) const {
     return LessLoaded(a, b, c) || (!LessLoaded(b, a, c) && upstreams_[a].load < upstreams_[b].load);
   }
 
   int Pick(const ActiveRequest& active) {
     if (ready_.empty()) return kNoUpstream;
-    // Among all, or among the holders where calls are thin; the second is near, so that one need not cross.
+    // Draws from all ready upstreams, or from the chip holders under sparse traffic. The second draw is from
+    // the own zone, to avoid needless cross-zone calls.
     const bool sparse = TrafficSparseness() > 0;
     if (sparse && random_.Unit() < kRandomPickShare) {
       if (const int u = Draw(active, ready_); u != kNoUpstream) return u;
@@ -582,7 +597,8 @@
     return Preferred(b, a, active.request.request_class) ? b : a;
   }
 
-  // Fewest own calls among all that may be sent to; ejected ones only when nobody else is left.
+  // Takes the upstream with the fewest own attempts in flight; ejected and avoided ones only if no other is
+  // left.
   int PickFallback(const ActiveRequest& active) {
     const int n = static_cast<int>(ready_.size());
     for (const bool with_ejected : {false, true}) {
@@ -598,13 +614,13 @@
     return kNoUpstream;
   }
 
-  // --- Cold upstreams ---
+  // --- Cold upstreams (slow start) ---
 
   bool IsCold(const Upstream& up) const {
     return up.entry.ready_at > 0 && now_ - up.entry.ready_at < settings_.cold_time;
   }
 
-  // The share of its work that a cold upstream can surely do by now.
+  // Share of its full capacity that a cold upstream surely has by now; it grows linearly over cold_time.
   double WarmShare(const Upstream& up) const {
     const double age = static_cast<double>(std::max<Micros>(0, now_ - up.entry.ready_at));
     const double warmed = settings_.cold_time > 0 ? age / static_cast<double>(settings_.cold_time) : 1;
@@ -613,8 +629,8 @@
 
   Micros ColdInterval() const { return std::max<Micros>(settings_.fall_time, kHousekeepingInterval); }
 
-  // What own sends ask of one warm upstream, were each sent to by what it can do. Those that fail count too:
-  // a trouble of theirs must not push the cold over.
+  // Own sends per microsecond to one warm upstream if each got its share by capacity. Failing upstreams are
+  // included: their failure must not overload the cold ones.
   double SendRatePerWarmUpstream() const {
     double shares = 0;
     for (const int u : ready_) {
@@ -623,12 +639,13 @@
     return send_rate_ / std::max(1.0, shares);
   }
 
-  // Sends that a cold upstream may get from here in the next span, drawn anew for each: what lapses unused is
-  // gone, else hundreds of instances would save up and spend in the same second. On the mean it is the own
-  // rate to a warm one before any jam, cut to the share that is surely warm, and to half of that while the
-  // warm ones can do the work: a cold one is slow, and what is late there passes for a crowd. Where they are
-  // asked for more than that rate, the cold take twice their part of the rest: servers warm faster than they
-  // must. Where nothing is known of peers, all instances together send one for each span.
+  // Sets the sends that a cold upstream may get from this instance in the next interval. Unused ones lapse,
+  // or hundreds of instances would save them up and spend them in the same second.
+  //
+  // On average this is the peak rate to a warm upstream, reduced to the share that is surely warm. While the
+  // warm ones can take the traffic it is halved: a cold upstream is slow, and its late responses would look
+  // like overload. Above that rate the cold ones get twice their share of the excess, since upstreams warm up
+  // faster than they have to. If no rate is known, all instances together send one request per interval.
   void RefillColdSends(Upstream& up) {
     if (!IsCold(up) || now_ < up.cold_interval_end) return;
     const double interval = static_cast<double>(ColdInterval());
@@ -642,9 +659,9 @@
     if (up.cold_sends_left > 0) AddChipHolder(up);
   }
 
-  // --- What may be done with a request ---
+  // --- Rules for repeating and refusing a request ---
 
-  // THE predicate of "no effect twice": may this request be sent once more (to its group)?
+  // May the request be sent once more (to its group)? This is the rule that no request takes effect twice.
   bool MaySend(const ActiveRequest& active) const {
     if (static_cast<int>(active.attempts.size()) >= settings_.max_attempts || active.response_streaming)
       return false;
@@ -652,7 +669,8 @@
     return now_ + settings_.tick < RepeatUntil(active);
   }
 
-  // What leaves later is a second effect: a keyed class's window opens with the first that may have run.
+  // A keyed class discards repeats within its window, which starts with the first attempt that may have run.
+  // A later send could take effect a second time.
   Micros RepeatUntil(const ActiveRequest& active) const {
     const RequestClass& c = ClassOf(active);
     const Attempt* first = FirstAttemptThatMayHaveRun(active);
@@ -660,7 +678,7 @@
     return c.repeat == Repeat::kUnsafe ? 0 : first->sent_at + c.window - c.window / 20;
   }
 
-  // And its sister: may it be refused, which promises that a retry is harmless?
+  // May the request be refused, which promises the client that a retry is harmless?
   bool MayRefuse(const ActiveRequest& active) const {
     const RequestClass& c = ClassOf(active);
     return RepeatUntil(active) == kNever || (c.repeat == Repeat::kKeyed && c.group == Group::kAll);
@@ -685,7 +703,7 @@
            std::max<double>(TimerMargin(), kMinTimeLeftFactor * mean_latency_);
   }
 
-  // --- The life of a request ---
+  // --- Request lifecycle ---
 
   Micros StallTime() const {
     return std::max(kMinStallTime, static_cast<Micros>(kStallFactor * mean_latency_));
@@ -715,7 +733,7 @@
     if (up.chips >= 1) {
       up.chips -= 1;
     } else {
-      up.last_response_or_trial = now_;  // a pick without a chip restarts RcvTime
+      up.last_response_or_trial = now_;  // a pick without a chip counts as a response in BLOC
     }
     if (up.ejection_duration > 0) up.ejected_until = now_ + up.ejection_duration;  // one trial at a time
     if (IsCold(up)) up.cold_sends_left -= 1;
@@ -737,7 +755,7 @@
         Send{id, up.entry.id, cut_short ? useful - now_ : 0, keyed ? RepeatUntil(active) - now_ : 0});
   }
 
-  // Nobody may be sent to just now: hold the request for a part of its time.
+  // No upstream may be sent to now: queues the request for a part of its time.
   void Enqueue(RequestId id, ActiveRequest& active) {
     const auto max_wait =
         static_cast<Micros>(kMaxQueueTimeShare * static_cast<double>(active.request.time_left));
@@ -761,7 +779,7 @@
   }
 
   void Retry(RequestId id, ActiveRequest& active, Outcome outcome) {
-    if (outcome == Outcome::kUnfit) {  // no other server will take it, and coming back is no use
+    if (outcome == Outcome::kUnfit) {  // every upstream would reject it, and so would a retry
       EndRequest(id, active, false);
       out_->push_back(Fail{id});
       active_requests_.erase(id);
@@ -778,7 +796,7 @@
     Dispatch(id, active);
   }
 
-  // The request's own timer: an attempt at a silent server is called off or doubled; the deadline is kept.
+  // Timer of one request: cancels or duplicates an attempt at a stalled upstream, and enforces the deadline.
   void OnRequestTimer(RequestId id, ActiveRequest& active) {
     if (active.response_streaming || active.body_streaming) return;
     if (active.open_attempts == 0 && now_ >= active.deadline - TimerMargin()) {
@@ -793,12 +811,13 @@
       SetTimerIn(std::max<Micros>(settings_.tick, RequestTimerDelay(it->second)), id);
   }
 
-  // Calls stuck at sick servers, and long bodies under way, must not fill the limit of the others.
+  // Attempts at stalled upstreams and long streams must not use up the limit of the other requests.
   void ExcludeFromLimit(ActiveRequest& active) {
     in_flight_ -= std::exchange(active.excluded_from_limit, true) ? 0 : 1;
   }
 
-  // Silent for long since the attempt went out: two calls out at once, or twice the time, say more than one.
+  // No response from the upstream since the attempt was sent. With a single attempt there the wait is twice
+  // as long, since two without a response are stronger evidence.
   bool IsStalled(const Attempt& a) const {
     const Upstream& up = upstreams_[a.upstream];
     const Micros silent_for = up.in_flight > 1 ? StallTime() : 2 * StallTime();
@@ -813,17 +832,17 @@
     if (active.cannot_resend || ClassOf(active).repeat == Repeat::kUnsafe) return;
     if (retry_tokens_ < 1 || !HasTimeForAttempt(active)) return;
     if (static_cast<int>(active.attempts.size()) >= settings_.max_attempts) return;
-    if (MaySend(active)) {  // a second copy
+    if (MaySend(active)) {  // hedged request
       retry_tokens_ -= 1;
       Dispatch(id, active);
     } else if (settings_.may_cancel && !settings_.parallel_attempts) {
-      attempt.cancel_requested = true;  // its outcome sends the next one
+      attempt.cancel_requested = true;  // the retry follows when the cancelled attempt ends
       out_->push_back(Cancel{id, static_cast<int>(active.attempts.size()) - 1});
     }
   }
 
-  // What ends with a request that was let in, and what it says of the time that requests take: one without an
-  // answer can only raise the mean; one that was turned away or found no server counts as too late.
+  // Ends an admitted request and records how long it took. A request without a response can only raise the
+  // mean. One that was rejected or found no upstream counts as too late.
   void EndRequest(RequestId id, ActiveRequest& active, bool served) {
     for (size_t i = 0; settings_.may_cancel && i < active.attempts.size(); ++i) {
       const Attempt& a = active.attempts[i];
@@ -846,7 +865,7 @@
                             (took - mean_request_time_);
   }
 
-  // Gives the final answer that the class permits, and forgets the request.
+  // Ends the request with the response that its class permits.
   void GiveUp(RequestId id) {
     const auto it = active_requests_.find(id);
     EndRequest(id, it->second, false);
@@ -858,7 +877,8 @@
     active_requests_.erase(id);
   }
 
-  // Soon enough that the next try can be answered within the aim; spread, so that they do not come together.
+  // Advice for clients: early enough for a retry to be answered within the aim, with jitter so that retries
+  // do not arrive together.
   Micros RetryAfter(Micros aim) {
     const double after = static_cast<double>(aim) * kRetryAfterAimShare * (0.5 + random_.Unit());
     return std::min(settings_.max_retry_after, static_cast<Micros>(after));
@@ -874,11 +894,12 @@
     return known && active.attempts[number].open ? &active.attempts[number] : nullptr;
   }
 
-  // --- Requests at fault, not servers ---
-  // Guards against requests of one class or tenant that fail or drag at every server: their outcomes are
-  // compared with those of the others. Where they alone fail, no server is blamed and no retry spent; where
-  // nearly all of them are late, only a trial now and then is let in, lest they fill the slots of the rest.
-  // Also covers a jam whose cause is unknown: nobody's trials go well, so all back off until it has drained.
+  // --- Request groups whose calls fail together ---
+  // Requests of one class or tenant may fail or be slow at every upstream. Their outcomes are compared with
+  // those of the other groups. If they alone fail, no upstream is blamed and no retry is spent. If nearly
+  // all of them are late, only an occasional trial is admitted, so that they do not fill the slots of the
+  // others. This also covers an overload of unknown cause: no trial succeeds, so all groups back off until
+  // it has drained.
 
   std::vector<RequestGroup*> GroupsOf(const ActiveRequest& active) {
     const size_t tenant = static_cast<size_t>(active.request.tenant);
@@ -887,10 +908,10 @@
       groups.push_back(&request_groups_[static_cast<size_t>(active.request.request_class)]);
     if (tenant < tenant_recent_requests_.size())
       groups.push_back(&request_groups_[settings_.classes.size() + tenant]);
-    return groups;  // the only class is everybody
+    return groups;  // a single class has nothing to be compared with
   }
 
-  // Fails by much more than the best of the other classes, or of the other tenants.
+  // The group has more than twice the failure share of another class or, for a tenant, of another tenant.
   bool GroupAtFault(const ActiveRequest& active, double RequestGroup::*share) {
     for (const RequestGroup* group : GroupsOf(active)) {
       if (group->*share < kSuspectShare) continue;
@@ -905,7 +926,7 @@
     return false;
   }
 
-  // A failure that the request's kin explains, at a server that did not fail the class before.
+  // The request's group explains the failure, and the upstream has not failed the class before.
   bool ExplainedByGroup(const Upstream& up, const ActiveRequest& active, Outcome outcome) {
     return up.classes[active.request.request_class].avoid_duration == 0 &&
            GroupAtFault(active,
@@ -924,7 +945,7 @@
     if (group.late_share < kFailingShare) {
       group.block_duration = group.blocked_until = 0;
     } else if (!late) {
-      group.blocked_until = now_;  // a trial that went well: the next one at once
+      group.blocked_until = now_;  // the trial succeeded: admit the next one at once
     } else if (now_ >= group.blocked_until || group.block_duration == 0) {
       BlockFor(group,
                group.block_duration == 0 ? aim : std::min(2 * group.block_duration, kMaxBlockDuration));
@@ -943,7 +964,7 @@
                     [&](RequestGroup* group) { return now_ < group->blocked_until; }))
       return true;
     for (RequestGroup* group : groups)
-      BlockFor(*group, group->block_duration);  // this one is the trial, where they are shut
+      BlockFor(*group, group->block_duration);  // if the groups are blocked, this request is their trial
     return false;
   }
 
@@ -961,7 +982,7 @@
     if (responded) up.last_response_or_trial = up.last_response = now_;
     if (end.report) RecordReport(up, *end.report);
     if (end.outcome == Outcome::kRejected) return void(up.chips = 0);
-    if (end.outcome == Outcome::kUnfit) return MintChip(up);  // says nothing against the server, nor the kin
+    if (end.outcome == Outcome::kUnfit) return MintChip(up);  // only the request is at fault
     if (end.outcome == Outcome::kSpoilt) return RecordMalformed(up, active);
     if (active && responded) RecordGroupError(*active, end.outcome == Outcome::kError);
     const bool group_at_fault = active && ExplainedByGroup(up, *active, end.outcome);
@@ -980,8 +1001,8 @@
     if (responded) MintChip(up);
   }
 
-  // Guards against leaving sound servers for answers that are spoilt here and there: one that sent something
-  // is no silent one, and only when nothing else came of it twice in a row does the class keep off it.
+  // A malformed response shows that the upstream is not silent. The class avoids it only after two in a row
+  // with no success in between, so that occasional malformed responses do not exclude healthy upstreams.
   void RecordMalformed(Upstream& up, const ActiveRequest* active) {
     up.last_response = now_;
     if (++up.consecutive_malformed > 1 && active) Avoid(up, active->request.request_class);
@@ -990,7 +1011,8 @@
   void RecordSuccess(Upstream& up, const AttemptEnd& end, const ActiveRequest* active) {
     up.consecutive_malformed = 0;
     const double took = static_cast<double>(end.elapsed);
-    // Of the first few the plain mean: the first answers are the quick ones, and silence is judged by it.
+    // The first few are averaged evenly: the first responses are the quick ones, and stalls are judged by
+    // the mean.
     mean_latency_ +=
         std::max(kLatencyGain / 4, 1 / (total_successes_ + new_successes_ + 1)) * (took - mean_latency_);
     up.ejection_duration = 0;
@@ -1006,13 +1028,14 @@
     up.classes[active->request.request_class] = {0, 0, now_};
     const RequestClass& c = ClassOf(*active);
     const double late_time = static_cast<double>(std::max<Micros>(0, c.deadline - c.aim)) * c.late_share;
-    const double aim = static_cast<double>(c.aim) + late_time;  // late answers that still earn give more time
+    // Late responses that still earn extend the aim.
+    const double aim = static_cast<double>(c.aim) + late_time;
     mean_aim_ = mean_aim_ > 0 ? mean_aim_ + kLatencyGain * (aim - mean_aim_) : aim;
   }
 
-  // A class keeps off a server that failed it, for longer each time, until it is served there again. Guards
-  // against servers that fail one class or all; with few calls for many servers one failure is all the
-  // evidence there will be in time. Never more than half of them: then the trouble is a shared one.
+  // Makes a class avoid an upstream that failed it, for longer each time, until a call of the class succeeds
+  // there. One failure is enough: with few calls for many upstreams there will be no more evidence in time.
+  // At most half of the upstreams are avoided; if more fail, the cause is a shared one.
   void Avoid(Upstream& up, int request_class) {
     Upstream::ClassRecord& record = up.classes[request_class];
     if (now_ < record.avoided_until) return;
@@ -1025,7 +1048,8 @@
     record.last_success = 0;
   }
 
-  // Guards against leaving the fleet for a trouble that all share, such as a bad tier below or a cut link.
+  // One more exclusion would exceed kMaxEjectedShare. A fault that all upstreams share, such as a failing
+  // tier below or a cut link, must not exclude the whole fleet.
   template <typename IsExcluded>
   bool ExceedsEjectionLimit(IsExcluded is_excluded) const {
     const auto excluded = std::count_if(ready_.begin(), ready_.end(), is_excluded);
@@ -1033,7 +1057,7 @@
   }
 
   void Eject(Upstream& up) {
-    if (up.unlisted) {  // the list was right
+    if (up.unlisted) {  // the list was right to drop it
       up.unlisted = false;
       up.entry.state = UpstreamState::kGone;
       RebuildReadyLists();
@@ -1041,33 +1065,34 @@
     if (ExceedsEjectionLimit([&](int u) { return now_ < upstreams_[u].ejected_until; })) return;
     if (now_ < up.ejected_until && up.ejection_duration > 0 && up.chips == 0) return;
     const Micros doubled = std::clamp(2 * up.ejection_duration, kMinEjectionDuration, kMaxEjectionDuration);
-    up.ejection_duration =
-        std::max(doubled, static_cast<Micros>(trial_interval_));  // no shorter than trials are apart
+    // Not shorter than the time between trials.
+    up.ejection_duration = std::max(doubled, static_cast<Micros>(trial_interval_));
     up.ejected_until = now_ + up.ejection_duration;
     up.chips = 0;
   }
 
   // --- Admission ---
 
-  // Worth of a request for its work, against the dearest class: 1 at the most.
+  // Worth of a request relative to the class with the most points; at most 1.
   double RelativeWorth(const ActiveRequest& active) const {
     double worth = max_points_ > 0 ? ClassOf(active).points / max_points_ : 1;
     const size_t tenant = static_cast<size_t>(active.request.tenant);
     if (tenant < tenant_recent_requests_.size() && settings_.tenants[tenant].allowance_per_s > 0) {
       const double share =
           settings_.tenants[tenant].allowance_per_s / settings_.balancers * kRateMemory / 1e6;
-      // With a margin for chance: of a few requests some instances see more than their part.
+      // The margin covers chance: with few requests some instances see more than their share.
       if (tenant_recent_requests_[tenant] > share + kChanceDeviations * std::sqrt(share))
         worth *= settings_.over_share_worth;
     }
     return worth;
   }
 
-  // Refuses early, the least worth first, once more is in hand than can be answered well within the aim. Only
-  // where clients come in: a call between tiers carries work already done.
+  // Load shedding: refuses requests early, those of least worth first, once more are in flight than can be
+  // served well within the aim. Applies only where clients enter: a call between tiers carries work already
+  // done.
   bool Admit(ActiveRequest& active) {
     if (settings_.tier > 0 || limit_ <= 0) return true;
-    // The cheaper classes give way to a crowd, not to the time that quiet load takes.
+    // Classes of less worth give way to overload, not to the time that requests take without load.
     const double min_worth =
         target_time_ > 0 ? std::min(1.0, kBaselineMargin * baseline_latency_ / target_time_) : 0;
     const double worth = std::max(1 - kWorthSpread * (1 - RelativeWorth(active)), min_worth);
@@ -1079,8 +1104,9 @@
     return static_cast<double>(in_flight_) < limit_ * worth + limit_slack_;
   }
 
-  // By Little's law: what is answered in the time that an answer may take. At the start each answer makes
-  // some room beyond its own, lest a crowd chokes the servers before the first answer.
+  // Sets the admission limit by Little's law: the success rate times the target time. At the start each
+  // success raises the limit a little, so that a burst does not choke the upstreams before the first
+  // response.
   void UpdateLimit(double elapsed) {
     const double keep = std::exp(-elapsed / kThroughputMemory);
     recent_successes_ = keep * recent_successes_ + new_successes_;
@@ -1090,7 +1116,7 @@
     const double upstreams_per_instance = static_cast<double>(ready_.size()) / settings_.balancers;
     const double start_limit = limit_ =
         kStartLimitPerUpstream * upstreams_per_instance + kStartLimitGrowth * total_successes_;
-    // What comes to one copy of many varies by chance, from the first second on.
+    // The share of traffic that one of many instances gets varies by chance from the first second on.
     limit_slack_ = kChanceDeviations * std::sqrt(limit_ * (1 - 1.0 / settings_.balancers));
     if (mean_latency_ <= 0) return void(recent_time_ = 0);
     const bool starting = total_successes_ < kStartupSuccesses;
@@ -1100,14 +1126,15 @@
         std::max(std::min(kTargetAimShare * mean_aim_, kMaxTargetOverBaseline * baseline_latency_),
                  std::min(kTargetOverBaseline * baseline_latency_, kMaxTargetAimShare * mean_aim_));
     limit_ = std::max(recent_successes_ / recent_time_ * target_time_, starting ? start_limit : 0);
-    // What chance brings to one copy of many the others make up for; with few, or in a jam, it is a crowd.
+    // A chance burst at one of many instances is balanced by the others. With few instances, or under
+    // overload, it is real load.
     const double overload =
         1 - std::clamp((target_time_ - mean_latency_) / std::max(1.0, target_time_ - baseline_latency_), 0.0,
                        1.0);
     const double variance_share = std::max(0.0, 1 - (1 + overload) / settings_.balancers);
+    // The start limit keeps the slack through a lull, in which limit_ falls towards 0.
     const double variance =
-        variance_share *
-        std::max(limit_, kStartLimitPerUpstream * upstreams_per_instance);  // a lull leaves no limit
+        variance_share * std::max(limit_, kStartLimitPerUpstream * upstreams_per_instance);
     if (total_successes_ >= kSlackSuccesses) limit_slack_ = kChanceDeviations * std::sqrt(variance) + 1;
   }
 
@@ -1149,7 +1176,7 @@
     for (size_t u = 0; u < upstreams_.size(); ++u) ForgetIfLongGone(static_cast<int>(u));
   }
 
-  // The mean count of all upstreams: of the last windows, or of this one until there is one.
+  // Mean load over all ready upstreams: of the last full windows, or of the current one until there is one.
   void UpdateMeanLoad() {
     double sum = 0;
     int n = 0;
