--- a/src/flow/route.cpp
+++ b/src/flow/route.cpp
@@ -18,12 +18,12 @@
   const Span left = flow.deadline - kAnswerTime - now;
   const Span wait = time_out ? std::min(*time_out, left) : left;
   if (wait < 1ms) return std::nullopt;
-  return AttemptRoute{server, entry_.Find(server)->address, wait,
+  return AttemptRoute{server, server_list_.Find(server)->address, wait,
                       send_within ? now + *send_within : Time::max()};
 }
 
 bool AttemptRouter::AcceptsNewWork(ServerId server) const {
-  const ServerRecord* record = entry_.Find(server);
+  const ServerRecord* record = server_list_.Find(server);
   if (record == nullptr || record->address.ss_family == AF_UNSPEC) return false;
   return record->state == UpstreamState::kReady ||
          (settings_.only_draining_binds && record->state == UpstreamState::kGone);
--- a/src/flow/route.h
+++ b/src/flow/route.h
@@ -18,7 +18,8 @@
 
 class AttemptRouter {
  public:
-  AttemptRouter(const ServiceEntry& entry, const Settings& settings) : entry_(entry), settings_(settings) {}
+  AttemptRouter(const ServerList& server_list, const Settings& settings)
+      : server_list_(server_list), settings_(settings) {}
   // Nothing where no attempt may go out: an unknown or leaving server, or no time left.
   std::optional<AttemptRoute> operator()(const Flow& flow, ServerId server, std::optional<Span> time_out,
                                          std::optional<Span> send_within) const;
@@ -26,7 +27,7 @@
   bool AcceptsNewWork(ServerId server) const;
 
  private:
-  const ServiceEntry& entry_;
+  const ServerList& server_list_;
   const Settings& settings_;
 };
 
--- a/src/membership/call_backoff.cpp
+++ b/src/membership/call_backoff.cpp
@@ -32,9 +32,9 @@
   switch (failure) {
     case CallFailure::kUnreachable:
       return "discovery could not be reached";
-    case CallFailure::kEnded:
+    case CallFailure::kStreamEnded:
       return "it ended";
-    case CallFailure::kSilent:
+    case CallFailure::kHeartbeatTimeout:
       return "it fell silent";
     case CallFailure::kMalformed:
       return "it made no sense";
@@ -51,7 +51,7 @@
       spread_(std::min(kSpreadPerCaller * (callers - 1), kLongestSpread)),
       large_(callers >= kLargeTier) {}
 
-CallBackoff::Span CallBackoff::Spread() { return Between(Span::zero(), spread_); }
+CallBackoff::Span CallBackoff::ReconnectJitter() { return Between(Span::zero(), spread_); }
 
 void CallBackoff::Reset() {
   mean_ = kFirstMean;
@@ -59,18 +59,18 @@
   refusals_ = 0;
 }
 
-CallBackoff::Span CallBackoff::Next(CallFailure failure, bool peers_know) {
-  if (failure == CallFailure::kRefused) return AfterRefusal(true, peers_know);
-  if (failure == CallFailure::kOverloaded) return AfterRefusal(false, peers_know);
+CallBackoff::Span CallBackoff::NextDelay(CallFailure failure, bool peers_current) {
+  if (failure == CallFailure::kRefused) return AfterRefusal(true, peers_current);
+  if (failure == CallFailure::kOverloaded) return AfterRefusal(false, peers_current);
   const Span wait = Between(mean_ / 2, mean_ * 3 / 2);
   mean_ = std::min(mean_ * 3 / 2, kLongestMean);
   return wait;
 }
 
-CallBackoff::Span CallBackoff::AfterRefusal(bool at_once, bool peers_know) {
+CallBackoff::Span CallBackoff::AfterRefusal(bool at_once, bool peers_current) {
   ++refusals_;
   const bool jammed = large_ && refusals_ > kQuickRefusals;
-  if (peers_know || jammed) {
+  if (peers_current || jammed) {
     const Span wait = Between(relaxed_mean_ / 2, relaxed_mean_ * 3 / 2);
     relaxed_mean_ = std::min(2 * relaxed_mean_, kLongestRelaxedMean);
     return wait;
--- a/src/membership/call_backoff.h
+++ b/src/membership/call_backoff.h
@@ -17,12 +17,12 @@
 
 // Why a call to discovery ended without being wanted any more.
 enum class CallFailure {
-  kUnreachable,  // no connection, or the request could not be written
-  kEnded,        // it ended or was reset soon, or after it had told something
-  kSilent,       // nothing whole came for longer than its heartbeat
-  kMalformed,    // what came is no answer
-  kRefused,      // it was refused at once: discovery is down, or its queue is full
-  kOverloaded,   // it waited in discovery's queue in vain, and its work is done there all the same
+  kUnreachable,       // no connection, or the request could not be written
+  kStreamEnded,       // it ended or was reset soon, or after it had told something
+  kHeartbeatTimeout,  // nothing whole came for longer than its heartbeat
+  kMalformed,         // what came is no answer
+  kRefused,           // it was refused at once: discovery is down, or its queue is full
+  kOverloaded,        // it waited in discovery's queue in vain, and its work is done there all the same
 };
 const char* Describe(CallFailure failure);
 
@@ -33,15 +33,15 @@
   CallBackoff(std::uint64_t seed, int callers);
 
   // A further wait where a watch was lost: others lose theirs in the same moment.
-  Span Spread();
+  Span ReconnectJitter();
   // Discovery has answered, or is another one from now on.
   void Reset();
   // The wait before the next call, never in step with other callers.
-  // `peers_know`: other sidecars tell this one what discovery does not.
-  Span Next(CallFailure failure, bool peers_know);
+  // `peers_current`: other sidecars tell this one what discovery does not.
+  Span NextDelay(CallFailure failure, bool peers_current);
 
  private:
-  Span AfterRefusal(bool at_once, bool peers_know);
+  Span AfterRefusal(bool at_once, bool peers_current);
   Span Between(Span least, Span most);
 
   std::mt19937_64 random_;
--- a/src/membership/discovery_source.cpp
+++ b/src/membership/discovery_source.cpp
@@ -68,12 +68,12 @@
 
 // One that ends before anything was told, after it had waited, was in the queue for too long.
 void ListWatch::OnEnd() {
-  Fail(Held() && !answered_ && !heard_ ? CallFailure::kOverloaded : CallFailure::kEnded);
+  Fail(Held() && !answered_ && !heard_ ? CallFailure::kOverloaded : CallFailure::kStreamEnded);
 }
 
 void ListWatch::Silent() {
   const bool taken = connected_ != Time::max() && !heard_;
-  if (!taken || slow_ || !owner_.slow()) return Fail(CallFailure::kSilent);
+  if (!taken || slow_ || !owner_.slow()) return Fail(CallFailure::kHeartbeatTimeout);
   slow_ = true;
   silence_.Start(kSlowAnswer);
 }
@@ -192,7 +192,7 @@
   slow_ = std::move(watch_);
   counters_.Add("discovery_broken");
   counters_.Add("discovery_slow");
-  again_.Start(backoff_.Next(CallFailure::kSilent, PeersKeepUp()));
+  again_.Start(backoff_.NextDelay(CallFailure::kHeartbeatTimeout, PeersKeepUp()));
   return true;
 }
 
@@ -248,14 +248,14 @@
 void DiscoverySource::Failed(CallFailure failure) {
   const bool held = watch_->Held();
   const bool lived = watch_->heard();
-  if (TakeForBack()) failure = CallFailure::kEnded;
+  if (TakeForBack()) failure = CallFailure::kStreamEnded;
   Drop(watch_, Describe(failure));
   counters_.Add("discovery_broken");
   if (failure == CallFailure::kOverloaded) counters_.Add("discovery_overloaded");
   const bool soon = Clock::now() < soon_until_;
   away_ = away_ || (!soon && !held);
-  Span wait = pushed_ ? Jittered(kPushedBackoff) : backoff_.Next(failure, PeersKeepUp());
-  if (lived && !pushed_) wait += backoff_.Spread();
+  Span wait = pushed_ ? Jittered(kPushedBackoff) : backoff_.NextDelay(failure, PeersKeepUp());
+  if (lived && !pushed_) wait += backoff_.ReconnectJitter();
   not_before_ = Clock::now() + wait;
   if (pushed_ || soon) again_.Start(wait);
   if (!soon) owner_.failed(Describe(failure));
--- a/src/membership/discovery_source.h
+++ b/src/membership/discovery_source.h
@@ -77,8 +77,8 @@
 
   void Watch(bool on) override;
   std::int64_t version() const override { return version_; }
-  bool Behind() const override { return watch_ == nullptr || !watch_->heard(); }
-  void PeerIsCurrent() override { peer_current_ = Clock::now(); }
+  bool MayBeStale() const override { return watch_ == nullptr || !watch_->heard(); }
+  void OnPeerCurrent() override { peer_current_ = Clock::now(); }
   void Reload(const Config& next) override { MoveTo(next.discovery); }
 
  private:
--- a/src/membership/nodes_source.cpp
+++ b/src/membership/nodes_source.cpp
@@ -290,7 +290,7 @@
   if (reconciler_.changed()) Later();
 }
 
-void NodesSource::Heard(const std::string& id, bool connected) {
+void NodesSource::OnConnectionResult(const std::string& id, bool connected) {
   if (connected || !reconciler_.holding()) return;
   reconciler_.Heard(Clock::now(), id, false);
   Later();
@@ -317,7 +317,7 @@
   });
 }
 
-void NodesSource::Withdraw() {
+void NodesSource::Deregister() {
   withdrawn_ = true;
   if (settings_.register_path.empty()) return;
   // A process that replaces this one has made the node its own; then it is not this one's to take away.
--- a/src/membership/nodes_source.h
+++ b/src/membership/nodes_source.h
@@ -24,8 +24,8 @@
 
   void Watch(bool on) override;
   void Reload(const Config& next) override;
-  void Heard(const std::string& id, bool connected) override;
-  void Withdraw() override;
+  void OnConnectionResult(const std::string& id, bool connected) override;
+  void Deregister() override;
 
  private:
   void OnSession(nodes::Session session);
--- a/src/membership/peer_exchange.cpp
+++ b/src/membership/peer_exchange.cpp
@@ -12,10 +12,10 @@
 }  // namespace
 
 PeerExchange::PeerExchange(Loop& loop, const PeerSettings& peers, std::uint64_t seed, MemberSource& source,
-                           ServiceEntry& entry, Counters& counters)
+                           ServerList& server_list, Counters& counters)
     : peers_(peers),
       source_(source),
-      entry_(entry),
+      server_list_(server_list),
       counters_(counters),
       random_(seed),
       socket_(loop, [this](const Address& from, std::string_view bytes) { Receive(from, bytes); }),
@@ -34,11 +34,11 @@
   tick_.Start(std::chrono::duration_cast<Span>(kAskEvery * part));
   // A process that this one replaces may still hold the address.
   if (!socket_.open() && !socket_.Listen(peers_.listen).empty()) return counters_.Add("peers_not_heard");
-  if (source_.Behind() && !others_.empty()) Ask();
+  if (source_.MayBeStale() && !others_.empty()) Ask();
 }
 
 void PeerExchange::Ask() {
-  const std::string question = WritePeerQuestion({source_.version()});
+  const std::string question = EncodePeerQuery({source_.version()});
   std::uniform_int_distribution<size_t> any(0, others_.size() - 1);
   for (size_t i = 0; i < kAskedAtOnce; ++i) {
     counters_.Add("peers_asked");
@@ -49,26 +49,26 @@
 bool PeerExchange::IsPeer(const Address& address) const { return printed_.contains(PrintAddress(address)); }
 
 void PeerExchange::Receive(const Address& from, std::string_view bytes) {
-  const std::optional<PeerMessage> message = ReadPeerMessage(bytes);
+  const std::optional<PeerMessage> message = DecodePeerMessage(bytes);
   if (!message || !IsPeer(from)) return counters_.Add("peer_messages_refused");
-  if (const auto* question = std::get_if<PeerQuestion>(&*message)) return Answer(from, *question);
-  Take(std::get<PeerNews>(*message));
+  if (const auto* question = std::get_if<PeerQuery>(&*message)) return Answer(from, *question);
+  Take(std::get<PeerReport>(*message));
 }
 
-void PeerExchange::Answer(const Address& to, const PeerQuestion& question) {
-  PeerNews news;
-  news.current = !source_.Behind();
-  news.closed = entry_.ClosedSince(question.version);
+void PeerExchange::Answer(const Address& to, const PeerQuery& question) {
+  PeerReport news;
+  news.current = !source_.MayBeStale();
+  news.closed = server_list_.ClosedSince(question.version);
   if (!news.current && news.closed.empty()) return;
   counters_.Add("peers_answered");
-  for (const std::string& bytes : WritePeerNews(news, kMostDatagrams)) socket_.Send(to, bytes);
+  for (const std::string& bytes : EncodePeerReport(news, kMostDatagrams)) socket_.Send(to, bytes);
 }
 
-void PeerExchange::Take(const PeerNews& news) {
-  if (!source_.Behind()) return;
+void PeerExchange::Take(const PeerReport& news) {
+  if (!source_.MayBeStale()) return;
   counters_.Add("peer_news");
-  if (news.current) source_.PeerIsCurrent();
-  entry_.Close(news.closed, source_.version());
+  if (news.current) source_.OnPeerCurrent();
+  server_list_.ApplyPeerReport(news.closed, source_.version());
 }
 
 }  // namespace umberdyke::net
--- a/src/membership/peer_exchange.h
+++ b/src/membership/peer_exchange.h
@@ -23,21 +23,21 @@
 class PeerExchange {
  public:
   PeerExchange(Loop& loop, const PeerSettings& peers, std::uint64_t seed, MemberSource& source,
-               ServiceEntry& entry, Counters& counters);
+               ServerList& server_list, Counters& counters);
 
  private:
   void Tick();
   void Ask();
   void Receive(const Address& from, std::string_view bytes);
-  void Answer(const Address& to, const PeerQuestion& question);
-  void Take(const PeerNews& news);
+  void Answer(const Address& to, const PeerQuery& question);
+  void Take(const PeerReport& news);
   bool IsPeer(const Address& address) const;
 
   const PeerSettings peers_;
   std::vector<Address> others_;
   std::unordered_set<std::string> printed_;  // the same
   MemberSource& source_;
-  ServiceEntry& entry_;
+  ServerList& server_list_;
   Counters& counters_;
   std::mt19937_64 random_;
   Datagrams socket_;
--- a/src/membership/peer_message.cpp
+++ b/src/membership/peer_message.cpp
@@ -11,8 +11,8 @@
 constexpr size_t kHead = kMagic.size() + 1;
 constexpr size_t kQuestionSize = kHead + sizeof(std::int64_t);
 constexpr size_t kNewsHead = kHead + 1;
-constexpr size_t kEntrySize = sizeof(LifeHash) + sizeof(std::uint32_t);
-constexpr size_t kEntriesEach = (kLongestPeerMessage - kNewsHead) / kEntrySize;
+constexpr size_t kEntrySize = sizeof(IncarnationHash) + sizeof(std::uint32_t);
+constexpr size_t kEntriesEach = (kMaxPeerMessageBytes - kNewsHead) / kEntrySize;
 
 template <typename Number>
 void Put(Number value, std::string* to) {
@@ -30,11 +30,12 @@
 
 std::optional<PeerMessage> ReadNews(std::string_view bytes) {
   if (bytes.size() < kNewsHead || (bytes.size() - kNewsHead) % kEntrySize != 0) return std::nullopt;
-  PeerNews news;
+  PeerReport news;
   news.current = bytes[kHead] != 0;
   for (size_t at = kNewsHead; at < bytes.size(); at += kEntrySize) {
     const std::string_view entry = bytes.substr(at, kEntrySize);
-    news.closed.push_back({Get<LifeHash>(entry), Get<std::uint32_t>(entry.substr(sizeof(LifeHash)))});
+    news.closed.push_back(
+        {Get<IncarnationHash>(entry), Get<std::uint32_t>(entry.substr(sizeof(IncarnationHash)))});
   }
   return news;
 }
@@ -42,8 +43,8 @@
 }  // namespace
 
 // FNV-1a.
-LifeHash HashLife(std::string_view id, std::optional<std::chrono::milliseconds> started) {
-  LifeHash hash = 0xcbf29ce484222325;
+IncarnationHash HashIncarnation(std::string_view id, std::optional<std::chrono::milliseconds> started) {
+  IncarnationHash hash = 0xcbf29ce484222325;
   const auto take = [&hash](unsigned char byte) { hash = (hash ^ byte) * 0x100000001b3; };
   for (const char c : id) take(static_cast<unsigned char>(c));
   std::string start;
@@ -52,14 +53,14 @@
   return hash;
 }
 
-std::string WritePeerQuestion(const PeerQuestion& question) {
+std::string EncodePeerQuery(const PeerQuery& question) {
   std::string bytes(kMagic);
   bytes += kQuestion;
   Put(question.version, &bytes);
   return bytes;
 }
 
-std::vector<std::string> WritePeerNews(const PeerNews& news, size_t most) {
+std::vector<std::string> EncodePeerReport(const PeerReport& news, size_t most) {
   std::vector<std::string> all;
   size_t next = 0;
   do {
@@ -76,13 +77,13 @@
   return all;
 }
 
-std::optional<PeerMessage> ReadPeerMessage(std::string_view bytes) {
-  if (bytes.size() > kLongestPeerMessage || bytes.size() < kHead) return std::nullopt;
+std::optional<PeerMessage> DecodePeerMessage(std::string_view bytes) {
+  if (bytes.size() > kMaxPeerMessageBytes || bytes.size() < kHead) return std::nullopt;
   if (bytes.substr(0, kMagic.size()) != kMagic) return std::nullopt;
   const char kind = bytes[kMagic.size()];
   if (kind == kNews) return ReadNews(bytes);
   if (kind != kQuestion || bytes.size() != kQuestionSize) return std::nullopt;
-  return PeerQuestion{Get<std::int64_t>(bytes.substr(kHead))};
+  return PeerQuery{Get<std::int64_t>(bytes.substr(kHead))};
 }
 
 }  // namespace umberdyke::net
--- a/src/membership/peer_message.h
+++ b/src/membership/peer_message.h
@@ -17,33 +17,33 @@
 
 namespace umberdyke::net {
 
-constexpr size_t kLongestPeerMessage = 256;
+constexpr size_t kMaxPeerMessageBytes = 256;
 
 // One life of a server: from one start to the next.
-using LifeHash = std::uint64_t;
-LifeHash HashLife(std::string_view id, std::optional<std::chrono::milliseconds> started);
+using IncarnationHash = std::uint64_t;
+IncarnationHash HashIncarnation(std::string_view id, std::optional<std::chrono::milliseconds> started);
 
-struct PeerQuestion {
+struct PeerQuery {
   std::int64_t version = 0;  // of the list that the sender holds
 };
 
 struct ClosedServer {
-  LifeHash life = 0;
+  IncarnationHash life = 0;
   std::uint32_t version = 0;  // of the list that told it
   friend bool operator==(const ClosedServer&, const ClosedServer&) = default;
 };
 
-struct PeerNews {
+struct PeerReport {
   bool current = false;  // the sender's watch on discovery is open
   std::vector<ClosedServer> closed;
 };
 
-using PeerMessage = std::variant<PeerQuestion, PeerNews>;
+using PeerMessage = std::variant<PeerQuery, PeerReport>;
 
-std::string WritePeerQuestion(const PeerQuestion& question);
+std::string EncodePeerQuery(const PeerQuery& question);
 // As many datagrams as it takes, at least one and at most so many; the oldest come first.
-std::vector<std::string> WritePeerNews(const PeerNews& news, size_t most);
-std::optional<PeerMessage> ReadPeerMessage(std::string_view bytes);
+std::vector<std::string> EncodePeerReport(const PeerReport& news, size_t most);
+std::optional<PeerMessage> DecodePeerMessage(std::string_view bytes);
 
 }  // namespace umberdyke::net
 
--- a/src/membership/service_entry.cpp
+++ b/src/membership/service_entry.cpp
@@ -4,7 +4,7 @@
 
 namespace umberdyke::net {
 
-void ServiceEntry::Take(const ServerListChange& listed, ListUpdate kind) {
+void ServerList::Apply(const ServerListChange& listed, ListUpdate kind) {
   for (int i = 0; i < listed.unreadable; ++i) counters_.Add("discovery_unreadable");
   ListChange change{kind, {}, {}, false};
   std::unordered_set<ServerId> named;
@@ -17,7 +17,7 @@
     }
     ServerRecord& record = servers_[it->second];
     if (server.address.ss_family != AF_UNSPEC) record.address = server.address;
-    lives_.erase(HashLife(record.id, record.listed.started));
+    lives_.erase(HashIncarnation(record.id, record.listed.started));
     const auto known_start = record.listed.started;
     record.listed = server;
     if (server.state == UpstreamState::kGone && !server.started) record.listed.started = known_start;
@@ -30,24 +30,24 @@
       if (!named.contains(number)) SetState(number, UpstreamState::kGone, listed.version);
     }
   }
-  told_(change);
+  on_change_(change);
 }
 
-void ServiceEntry::SetState(ServerId server, UpstreamState state, std::int64_t version) {
+void ServerList::SetState(ServerId server, UpstreamState state, std::int64_t version) {
   ServerRecord& record = servers_[server];
   if (state == UpstreamState::kGone && record.state != UpstreamState::kGone) record.gone = Clock::now();
-  const LifeHash life = HashLife(record.id, record.listed.started);
+  const IncarnationHash life = HashIncarnation(record.id, record.listed.started);
   if (state == UpstreamState::kReady) {
     lives_[life] = server;
-    record.closed_by = 0;
+    record.closed_version = 0;
   } else {
     lives_.erase(life);
-    if (record.closed_by == 0) record.closed_by = version;
+    if (record.closed_version == 0) record.closed_version = version;
   }
   record.state = state;
 }
 
-void ServiceEntry::Close(const std::vector<ClosedServer>& closed, std::int64_t since) {
+void ServerList::ApplyPeerReport(const std::vector<ClosedServer>& closed, std::int64_t since) {
   ListChange change{ListUpdate::kChanges, {}, {}, true};
   for (const ClosedServer& server : closed) {
     const auto it = lives_.find(server.life);
@@ -59,28 +59,28 @@
     listed.state = UpstreamState::kDraining;
     change.entries.push_back({number, std::move(listed)});
   }
-  if (!change.entries.empty()) told_(change);
+  if (!change.entries.empty()) on_change_(change);
 }
 
-std::vector<ClosedServer> ServiceEntry::ClosedSince(std::int64_t version) const {
+std::vector<ClosedServer> ServerList::ClosedSince(std::int64_t version) const {
   std::vector<ClosedServer> closed;
   for (const auto& [number, record] : servers_) {
-    if (record.closed_by <= version) continue;
-    closed.push_back(
-        {HashLife(record.id, record.listed.started), static_cast<std::uint32_t>(record.closed_by)});
+    if (record.closed_version <= version) continue;
+    closed.push_back({HashIncarnation(record.id, record.listed.started),
+                      static_cast<std::uint32_t>(record.closed_version)});
   }
   std::sort(closed.begin(), closed.end(),
             [](const ClosedServer& a, const ClosedServer& b) { return a.version < b.version; });
   return closed;
 }
 
-size_t ServiceEntry::listed() const {
+size_t ServerList::listed_count() const {
   return static_cast<size_t>(std::count_if(servers_.begin(), servers_.end(), [](const auto& server) {
     return server.second.state != UpstreamState::kGone;
   }));
 }
 
-void ServiceEntry::Forget(Time gone_before) {
+void ServerList::RemoveGone(Time gone_before) {
   std::erase_if(servers_, [&](const auto& item) {
     const ServerRecord& record = item.second;
     if (record.state != UpstreamState::kGone || record.gone >= gone_before) return false;
--- a/src/membership/service_entry.h
+++ b/src/membership/service_entry.h
@@ -22,9 +22,9 @@
   std::string id;
   Address address{};
   UpstreamState state = UpstreamState::kReady;
-  Time gone{};                 // when the list told that it has gone
-  std::int64_t closed_by = 0;  // the version of the list that told that it drains or is gone
-  ListedServer listed;         // as the list told it last
+  Time gone{};                      // when the list told that it has gone
+  std::int64_t closed_version = 0;  // the version of the list that told that it drains or is gone
+  ListedServer listed;              // as the list told it last
 };
 
 struct ListChange {
@@ -34,21 +34,22 @@
     ListedServer listed;
   };
   std::vector<Entry> entries;
-  std::string why;          // of kFailed
+  std::string error;        // of kFailed
   bool from_peers = false;  // not the source's own word
 };
 
-class ServiceEntry {
+class ServerList {
  public:
-  using Told = std::function<void(const ListChange&)>;
-  ServiceEntry(Counters& counters, Told told) : counters_(counters), told_(std::move(told)) {}
+  using ChangeCallback = std::function<void(const ListChange&)>;
+  ServerList(Counters& counters, ChangeCallback on_change)
+      : counters_(counters), on_change_(std::move(on_change)) {}
 
   // What a source tells; the list that the sidecar was started with comes as kCached.
-  void Take(const ServerListChange& listed, ListUpdate kind);
-  void Failed(const std::string& why) { told_({ListUpdate::kFailed, {}, why}); }
+  void Apply(const ServerListChange& listed, ListUpdate kind);
+  void OnSourceFailure(const std::string& why) { on_change_({ListUpdate::kFailed, {}, why}); }
   // What other sidecars say has closed by versions later than `since`, which is this list's own: what is
   // ready here gets nothing new from now on.
-  void Close(const std::vector<ClosedServer>& closed, std::int64_t since);
+  void ApplyPeerReport(const std::vector<ClosedServer>& closed, std::int64_t since);
   // What has closed by later versions than this one, oldest first.
   std::vector<ClosedServer> ClosedSince(std::int64_t version) const;
   // Null for a number that no list gave.
@@ -58,19 +59,19 @@
   }
   size_t size() const { return servers_.size(); }
   // Those that the list names now.
-  size_t listed() const;
+  size_t listed_count() const;
   // Lets go of servers that have long gone: they are replaced all day, by others with other ids.
-  void Forget(Time gone_before);
+  void RemoveGone(Time gone_before);
 
  private:
   void SetState(ServerId server, UpstreamState state, std::int64_t version);
 
   Counters& counters_;
-  const Told told_;
+  const ChangeCallback on_change_;
   std::unordered_map<ServerId, ServerRecord> servers_;
   std::unordered_map<std::string, ServerId> numbers_;
-  std::unordered_map<LifeHash, ServerId> lives_;  // of those that are ready
-  ServerId next_ = 0;                             // numbers are not used again
+  std::unordered_map<IncarnationHash, ServerId> lives_;  // of those that are ready
+  ServerId next_ = 0;                                    // numbers are not used again
 };
 
 }  // namespace umberdyke::net
--- a/src/membership/source.h
+++ b/src/membership/source.h
@@ -34,15 +34,15 @@
   // The version of the list that this sidecar holds; 0 where the source counts none.
   virtual std::int64_t version() const { return 0; }
   // Whether the source has not been heard lately, so that the list may be old.
-  virtual bool Behind() const { return false; }
+  virtual bool MayBeStale() const { return false; }
   // Another sidecar has told what has closed lately: the source need not be pressed.
-  virtual void PeerIsCurrent() {}
+  virtual void OnPeerCurrent() {}
   // A configuration that was read anew.
   virtual void Reload(const Config& next) = 0;
   // How the sidecar's own connections to a server fare.
-  virtual void Heard(const std::string& /*id*/, bool /*connected*/) {}
+  virtual void OnConnectionResult(const std::string& /*id*/, bool /*connected*/) {}
   // The sidecar is about to end: whoever follows it by this source is told.
-  virtual void Withdraw() {}
+  virtual void Deregister() {}
 };
 
 // `known` is the list that the sidecar starts with. Throws ConfigError where the source cannot be had.
--- a/src/sidecar/sidecar.cpp
+++ b/src/sidecar/sidecar.cpp
@@ -37,7 +37,7 @@
       platform_(config_),
       metrics_(config_.class_names, config_.console.has_value()),
       streaming_limit_(config_.memory),
-      entry_(counters_, [this](const ListChange& c) { Told(c); }),
+      server_list_(counters_, [this](const ListChange& c) { Told(c); }),
       servers_(loop, ServerLimits(config_), streaming_limit_, counters_),
       decisions_(loop, config_, counters_, *this),
       request_intake_(platform_, counters_,
@@ -45,7 +45,7 @@
       flow_admission_(
           loop, flows_, counters_, [this](FlowId flow) { LastCall(flow); },
           [this](int request_class) { flow_recorder_.CountInvalidRequest(request_class); }),
-      attempt_router_(entry_, config_.settings),
+      attempt_router_(server_list_, config_.settings),
       attempt_sender_(
           servers_, attempt_router_, platform_, metrics_, counters_, config_.settings.parallel_attempts,
           [this](FlowId flow) { return Wanted(flow); },
@@ -87,13 +87,14 @@
   }
   const std::optional<ServerListChange> known = platform_.ParseServerList(config_.known);
   if (!known && !config_.known.empty()) counters_.Add("discovery_unreadable");
-  source_ =
-      MakeSource(loop, platform_, config_, known.value_or(ServerListChange{}), counters_, *log_,
-                 {[this](const ServerListChange& change, ListUpdate kind) { entry_.Take(change, kind); },
-                  [this](const std::string& why) { entry_.Failed(why); }});
-  entry_.Take(known.value_or(ServerListChange{}), ListUpdate::kCached);
+  source_ = MakeSource(
+      loop, platform_, config_, known.value_or(ServerListChange{}), counters_, *log_,
+      {[this](const ServerListChange& change, ListUpdate kind) { server_list_.Apply(change, kind); },
+       [this](const std::string& why) { server_list_.OnSourceFailure(why); }});
+  server_list_.Apply(known.value_or(ServerListChange{}), ListUpdate::kCached);
   if (config_.peers && !config_.membership) {
-    peers_ = std::make_unique<PeerExchange>(loop, *config_.peers, config_.seed, *source_, entry_, counters_);
+    peers_ =
+        std::make_unique<PeerExchange>(loop, *config_.peers, config_.seed, *source_, server_list_, counters_);
   }
   const bool pushed = !config_.settings.must_ask;
   awaits_list_ = pushed && !config_.membership;
@@ -181,7 +182,8 @@
   // One line for a run of failures and one for its end: discovery may be down for days.
   if (change.kind == ListUpdate::kFailed) {
     if (watch_failures_++ == 0) {
-      log_->Say(Event::kDiscoveryBroke, "the watch on discovery broke: " + change.why, {{"why", change.why}});
+      log_->Say(Event::kDiscoveryBroke, "the watch on discovery broke: " + change.error,
+                {{"why", change.error}});
     }
   } else if (watch_failures_ > 0 && !change.from_peers) {
     const int failures = std::exchange(watch_failures_, 0);
@@ -382,8 +384,8 @@
 // A source may keep servers against its own list for as long as they can be reached.
 void Sidecar::Heard(ServerId server, Outcome outcome) {
   if (!config_.membership || (outcome != Outcome::kConnectFailed && outcome != Outcome::kOk)) return;
-  if (const ServerRecord* record = entry_.Find(server); record != nullptr) {
-    source_->Heard(record->id, outcome == Outcome::kOk);
+  if (const ServerRecord* record = server_list_.Find(server); record != nullptr) {
+    source_->OnConnectionResult(record->id, outcome == Outcome::kOk);
   }
 }
 
@@ -403,7 +405,7 @@
 }
 
 void Sidecar::Check(ServerId server, Checked done) {
-  const ServerRecord* record = entry_.Find(server);
+  const ServerRecord* record = server_list_.Find(server);
   counters_.Add("checks_sent");
   if (record == nullptr || !attempt_router_.AcceptsNewWork(server)) return done(Outcome::kNotSent, {});
   ExchangeEvents events;
@@ -423,7 +425,7 @@
 
 void Sidecar::Tick() {
   servers_.CloseExpired();
-  entry_.Forget(Clock::now() - kForget);
+  server_list_.RemoveGone(Clock::now() - kForget);
   OnIdle();
   tick_.Start(kTick);
 }
@@ -437,7 +439,7 @@
 ConsoleMetrics Sidecar::CurrentFigures() const {
   ConsoleMetrics figures = metrics_.figures();
   figures.concurrent = flows_.fully_received();
-  figures.targets = entry_.listed();
+  figures.targets = server_list_.listed_count();
   figures.targets_disabled = static_cast<std::uint64_t>(decisions_.Avoided());
   return figures;
 }
@@ -474,7 +476,7 @@
   log_->Say(Event::kDrainBegins,
             config_.name + " was told to end: " + std::to_string(flows_.size()) + " flows are open",
             {{"open_flows", static_cast<std::int64_t>(flows_.size())}, {"us", MicrosNow()}});
-  source_->Withdraw();
+  source_->Deregister();
   begin_timer_.Stop();  // one that has not begun yet never does
   if (inherited_) close(*std::exchange(inherited_, std::nullopt));
   if (replaced()) listener_.Close();  // what waits in its queue is the other process's
--- a/src/sidecar/sidecar.h
+++ b/src/sidecar/sidecar.h
@@ -124,7 +124,7 @@
   FlowMetrics metrics_;
   StreamingBufferLimit streaming_limit_;
   FlowTable flows_;
-  ServiceEntry entry_;
+  ServerList server_list_;
   std::unique_ptr<MemberSource> source_;
   std::unique_ptr<PeerExchange> peers_;  // where the settings allow it
   RealServers servers_;
--- a/tests/membership/service_test.cpp
+++ b/tests/membership/service_test.cpp
@@ -262,7 +262,7 @@
   CHECK(state("s599", UpstreamState::kReady));
   CHECK(counters.Of("membership_list_reads") - reads <= 20);
 
-  source->Withdraw();
+  source->Deregister();
   CHECK(loop.RunUntil([&] { return ensemble.OwnerOf("/front-1") == 0; }, 3s));
 }
 
@@ -296,10 +296,10 @@
   Registering next(loop, ensemble);
   REQUIRE(loop.RunUntil(
       [&] { return ensemble.OwnerOf("/front-1") != 0 && ensemble.OwnerOf("/front-1") != first; }, 5s));
-  old.source->Withdraw();
+  old.source->Deregister();
   loop.RunUntil([] { return false; }, 300ms);
   CHECK(ensemble.OwnerOf("/front-1") != 0);
-  next.source->Withdraw();
+  next.source->Deregister();
   CHECK(loop.RunUntil([&] { return ensemble.OwnerOf("/front-1") == 0; }, 3s));
 }
 
--- a/tests/net/peer_test.cpp
+++ b/tests/net/peer_test.cpp
@@ -23,60 +23,60 @@
 struct List {
   List() { Tell(3, UpstreamState::kReady, 5ms); }
   void Tell(std::int64_t version, UpstreamState state, std::chrono::milliseconds started) {
-    entry.Take({version, false, {Server("s0", state, started)}, 0}, ListUpdate::kChanges);
+    server_list.Apply({version, false, {Server("s0", state, started)}, 0}, ListUpdate::kChanges);
   }
-  UpstreamState State() const { return entry.Find(0)->state; }
+  UpstreamState State() const { return server_list.Find(0)->state; }
   Counters counters;
-  ServiceEntry entry{counters, [](const ListChange&) {}};
+  ServerList server_list{counters, [](const ListChange&) {}};
 };
 
 // Guards against a datagram that is longer than peers may send, and entries that are lost between two.
 TEST_CASE("news of many servers goes in datagrams of 256 bytes at most, and comes as it was", "[peer]") {
-  PeerNews news;
+  PeerReport news;
   news.current = true;
   for (std::uint32_t i = 0; i < 1000; ++i) news.closed.push_back({i * 0x9e3779b97f4a7c15u, i});
   std::vector<ClosedServer> read;
-  for (const std::string& bytes : WritePeerNews(news, 64)) {
+  for (const std::string& bytes : EncodePeerReport(news, 64)) {
     CHECK(bytes.size() <= 256);
-    const auto message = ReadPeerMessage(bytes);
+    const auto message = DecodePeerMessage(bytes);
     REQUIRE(message);
-    const auto& part = std::get<PeerNews>(*message);
+    const auto& part = std::get<PeerReport>(*message);
     CHECK(part.current);
     read.insert(read.end(), part.closed.begin(), part.closed.end());
   }
   CHECK(read == news.closed);
-  CHECK(WritePeerNews(news, 3).size() == 3);
-  CHECK(WritePeerNews({}, 64).size() == 1);
-  const auto question = ReadPeerMessage(WritePeerQuestion({1234567890123}));
+  CHECK(EncodePeerReport(news, 3).size() == 3);
+  CHECK(EncodePeerReport({}, 64).size() == 1);
+  const auto question = DecodePeerMessage(EncodePeerQuery({1234567890123}));
   REQUIRE(question);
-  CHECK(std::get<PeerQuestion>(*question).version == 1234567890123);
+  CHECK(std::get<PeerQuery>(*question).version == 1234567890123);
 }
 
 // Guards against strangers and damaged datagrams.
 TEST_CASE("what is no message of a peer is nothing", "[peer]") {
-  const std::string good = WritePeerQuestion({7});
-  for (size_t size = 0; size < good.size(); ++size) CHECK_FALSE(ReadPeerMessage(good.substr(0, size)));
-  CHECK_FALSE(ReadPeerMessage(good + "x"));
-  CHECK_FALSE(ReadPeerMessage("UDL2" + good.substr(4)));
-  CHECK_FALSE(ReadPeerMessage(WritePeerNews({true, {{1, 2}}}, 1).front() + "x"));
-  CHECK_FALSE(ReadPeerMessage(std::string(257, 'U')));
+  const std::string good = EncodePeerQuery({7});
+  for (size_t size = 0; size < good.size(); ++size) CHECK_FALSE(DecodePeerMessage(good.substr(0, size)));
+  CHECK_FALSE(DecodePeerMessage(good + "x"));
+  CHECK_FALSE(DecodePeerMessage("UDL2" + good.substr(4)));
+  CHECK_FALSE(DecodePeerMessage(EncodePeerReport({true, {{1, 2}}}, 1).front() + "x"));
+  CHECK_FALSE(DecodePeerMessage(std::string(257, 'U')));
 }
 
 // Guards against news of an earlier life that closes the next one, and news older than the own list.
 TEST_CASE("a peer closes only the life that it names, and nothing that the own list knows better", "[peer]") {
-  const ClosedServer earlier{HashLife("s0", 4ms), 9};
-  const ClosedServer known{HashLife("s0", 5ms), 3};
-  const ClosedServer news{HashLife("s0", 5ms), 4};
+  const ClosedServer earlier{HashIncarnation("s0", 4ms), 9};
+  const ClosedServer known{HashIncarnation("s0", 5ms), 3};
+  const ClosedServer news{HashIncarnation("s0", 5ms), 4};
   List list;
-  list.entry.Close({earlier, known}, 3);
+  list.server_list.ApplyPeerReport({earlier, known}, 3);
   CHECK(list.State() == UpstreamState::kReady);
-  list.entry.Close({news}, 3);
+  list.server_list.ApplyPeerReport({news}, 3);
   CHECK(list.State() == UpstreamState::kDraining);
-  CHECK(list.entry.ClosedSince(3) == std::vector<ClosedServer>{news});  // told on
-  CHECK(list.entry.ClosedSince(4).empty());
+  CHECK(list.server_list.ClosedSince(3) == std::vector<ClosedServer>{news});  // told on
+  CHECK(list.server_list.ClosedSince(4).empty());
   list.Tell(5, UpstreamState::kReady, 6ms);
   CHECK(list.State() == UpstreamState::kReady);
-  list.entry.Close({news}, 3);
+  list.server_list.ApplyPeerReport({news}, 3);
   CHECK(list.State() == UpstreamState::kReady);
 }
 
@@ -86,16 +86,16 @@
     CallBackoff backoff(7, callers);
     Span longest{};
     for (int i = 0; i < 200; ++i) {
-      const Span wait = backoff.Next(CallFailure::kOverloaded, false);
+      const Span wait = backoff.NextDelay(CallFailure::kOverloaded, false);
       CHECK(wait >= 1500ms);
       longest = std::max(longest, wait);
     }
     CHECK((callers < 32) == (longest < 6s));
     CHECK(longest < 10s);
-    CHECK(backoff.Next(CallFailure::kEnded, false) < 300ms);
-    CHECK(backoff.Spread() <= std::min<Span>(10ms * callers, 2s));
+    CHECK(backoff.NextDelay(CallFailure::kStreamEnded, false) < 300ms);
+    CHECK(backoff.ReconnectJitter() <= std::min<Span>(10ms * callers, 2s));
     backoff.Reset();
-    CHECK(backoff.Next(CallFailure::kOverloaded, false) <= 3600ms);
+    CHECK(backoff.NextDelay(CallFailure::kOverloaded, false) <= 3600ms);
   }
 }
 
--- a/tests/net/rules_test.cpp
+++ b/tests/net/rules_test.cpp
@@ -280,17 +280,17 @@
   Counters counters;
   const Config config = ParseConfig(ConfigText("127.0.0.1:1", "null"), NoEnvironment());
   const Platform platform(config);
-  ServiceEntry entry(counters, [](const ListChange&) {});
+  ServerList server_list(counters, [](const ListChange&) {});
   for (int i = 0; i < 1000; ++i) {
-    entry.Take(
+    server_list.Apply(
         *platform.ParseServerList(ListText(i, true, {ServerLine("s" + std::to_string(i), "127.0.0.1:9")})),
         ListUpdate::kCached);
-    entry.Forget(Clock::now() + 1s);
+    server_list.RemoveGone(Clock::now() + 1s);
   }
-  CHECK(entry.size() == 1);
-  REQUIRE(entry.Find(999) != nullptr);
-  CHECK(entry.Find(999)->id == "s999");
-  CHECK(entry.Find(0) == nullptr);
+  CHECK(server_list.size() == 1);
+  REQUIRE(server_list.Find(999) != nullptr);
+  CHECK(server_list.Find(999)->id == "s999");
+  CHECK(server_list.Find(0) == nullptr);
 
   CHECK(site.Ask(Look()).status == 200);
   const std::string address = site.real[0]->address();
