--- a/src/flow/decisions.h
+++ b/src/flow/decisions.h
@@ -14,7 +14,7 @@
 #include "counters/counters.h"
 #include "flow/flow.h"
 #include "loop/loop.h"
-#include "membership/service_entry.h"
+#include "membership/server_list.h"
 #include "umberdyke/balancer.h"
 
 namespace umberdyke::net {
--- a/src/flow/route.h
+++ b/src/flow/route.h
@@ -5,7 +5,7 @@
 #include <optional>
 
 #include "flow/flow.h"
-#include "membership/service_entry.h"
+#include "membership/server_list.h"
 
 namespace umberdyke::net {
 
--- a/src/membership/peer_exchange.h
+++ b/src/membership/peer_exchange.h
@@ -15,7 +15,7 @@
 #include "counters/counters.h"
 #include "loop/datagrams.h"
 #include "membership/peer_message.h"
-#include "membership/service_entry.h"
+#include "membership/server_list.h"
 #include "membership/source.h"
 
 namespace umberdyke::net {
--- a/src/membership/service_entry.cpp
+++ b/src/membership/server_list.cpp
@@ -1,4 +1,4 @@
-#include "membership/service_entry.h"
+#include "membership/server_list.h"
 
 #include <algorithm>
 
--- a/src/membership/service_entry.h
+++ b/src/membership/server_list.h
@@ -1,7 +1,7 @@
 // The list as this sidecar holds it, whichever source tells of it: servers under numbers of its own, their
 // addresses and states.
-#ifndef UMBERDYKE_MEMBERSHIP_SERVICE_ENTRY_H_
-#define UMBERDYKE_MEMBERSHIP_SERVICE_ENTRY_H_
+#ifndef UMBERDYKE_MEMBERSHIP_SERVER_LIST_H_
+#define UMBERDYKE_MEMBERSHIP_SERVER_LIST_H_
 
 #include <functional>
 #include <string>
@@ -76,4 +76,4 @@
 
 }  // namespace umberdyke::net
 
-#endif  // UMBERDYKE_MEMBERSHIP_SERVICE_ENTRY_H_
+#endif  // UMBERDYKE_MEMBERSHIP_SERVER_LIST_H_
--- a/src/server/real_server.h
+++ b/src/server/real_server.h
@@ -13,7 +13,7 @@
 #include "counters/counters.h"
 #include "http1/http.h"
 #include "loop/loop.h"
-#include "membership/service_entry.h"
+#include "membership/server_list.h"
 #include "passing/room.h"
 
 namespace umberdyke::net {
--- a/src/sidecar/sidecar.h
+++ b/src/sidecar/sidecar.h
@@ -23,7 +23,7 @@
 #include "log/log.h"
 #include "loop/loop.h"
 #include "membership/peer_exchange.h"
-#include "membership/service_entry.h"
+#include "membership/server_list.h"
 #include "membership/source.h"
 #include "platform/platform.h"
 #include "server/real_server.h"
--- a/src/sidecar/zone_watch.h
+++ b/src/sidecar/zone_watch.h
@@ -11,7 +11,7 @@
 #include "counters/counters.h"
 #include "log/log.h"
 #include "loop/loop.h"
-#include "membership/service_entry.h"
+#include "membership/server_list.h"
 #include "sites/watch.h"
 
 namespace umberdyke::net {
--- a/tests/net/peer_test.cpp
+++ b/tests/net/peer_test.cpp
@@ -3,7 +3,7 @@
 
 #include "membership/call_backoff.h"
 #include "membership/peer_message.h"
-#include "membership/service_entry.h"
+#include "membership/server_list.h"
 
 namespace umberdyke::net {
 namespace {
