--- a/src/membership/call_backoff.cpp
+++ b/src/membership/call_backoff.cpp
@@ -10,21 +10,21 @@
 // A call that waited in vain has waited for 2 s, and about as much work still stands behind it. Later waits
 // are longer, so that a queue that never empties drains; all end, with a call that is answered at once,
 // within the 6 s in which a change has to be learnt once discovery can be reached again.
-constexpr CallBackoff::Span kLeastAfterFirst = 1500ms;
-constexpr CallBackoff::Span kMostAfterFirst = 3600ms;
-constexpr CallBackoff::Span kLeastAfterLater = 1800ms;
-constexpr CallBackoff::Span kMostAfterLater = 5400ms;
+constexpr CallBackoff::Span kMinDelayAfterFirstOverload = 1500ms;
+constexpr CallBackoff::Span kMaxDelayAfterFirstOverload = 3600ms;
+constexpr CallBackoff::Span kMinDelayAfterLaterOverload = 1800ms;
+constexpr CallBackoff::Span kMaxDelayAfterLaterOverload = 5400ms;
 // One that is refused at once leaves no work behind.
-constexpr CallBackoff::Span kLeastAtOnce = 1200ms;
-constexpr CallBackoff::Span kMostAtOnce = 3200ms;
+constexpr CallBackoff::Span kMinDelayAfterRefusal = 1200ms;
+constexpr CallBackoff::Span kMaxDelayAfterRefusal = 3200ms;
 // Calls that many callers make at the same moment are spread by so much for each of them: discovery is sized
 // for a call of each in several seconds.
-constexpr CallBackoff::Span kSpreadPerCaller = 10ms;
-constexpr CallBackoff::Span kLongestSpread = 2s;
+constexpr CallBackoff::Span kReconnectJitterPerCaller = 10ms;
+constexpr CallBackoff::Span kMaxReconnectJitter = 2s;
 
 // So many callers can fill discovery's queue for good: after a few refusals their waits double.
-constexpr int kLargeTier = 32;
-constexpr int kQuickRefusals = 2;
+constexpr int kLargeTierCallers = 32;
+constexpr int kQuickRetries = 2;
 
 }  // namespace
 
@@ -48,40 +48,42 @@
 
 CallBackoff::CallBackoff(std::uint64_t seed, int callers)
     : random_(seed),
-      spread_(std::min(kSpreadPerCaller * (callers - 1), kLongestSpread)),
-      large_(callers >= kLargeTier) {}
+      max_reconnect_jitter_(std::min(kReconnectJitterPerCaller * (callers - 1), kMaxReconnectJitter)),
+      large_tier_(callers >= kLargeTierCallers) {}
 
-CallBackoff::Span CallBackoff::ReconnectJitter() { return Between(Span::zero(), spread_); }
+CallBackoff::Span CallBackoff::ReconnectJitter() {
+  return UniformBetween(Span::zero(), max_reconnect_jitter_);
+}
 
 void CallBackoff::Reset() {
-  mean_ = kFirstMean;
-  relaxed_mean_ = kFirstRelaxedMean;
-  refusals_ = 0;
+  mean_delay_ = kInitialMeanDelay;
+  relaxed_mean_delay_ = kInitialRelaxedMeanDelay;
+  consecutive_refusals_ = 0;
 }
 
 CallBackoff::Span CallBackoff::NextDelay(CallFailure failure, bool peers_current) {
-  if (failure == CallFailure::kRefused) return AfterRefusal(true, peers_current);
-  if (failure == CallFailure::kOverloaded) return AfterRefusal(false, peers_current);
-  const Span wait = Between(mean_ / 2, mean_ * 3 / 2);
-  mean_ = std::min(mean_ * 3 / 2, kLongestMean);
-  return wait;
+  if (failure == CallFailure::kRefused) return DelayAfterRefusal(true, peers_current);
+  if (failure == CallFailure::kOverloaded) return DelayAfterRefusal(false, peers_current);
+  const Span delay = UniformBetween(mean_delay_ / 2, mean_delay_ * 3 / 2);
+  mean_delay_ = std::min(mean_delay_ * 3 / 2, kMaxMeanDelay);
+  return delay;
 }
 
-CallBackoff::Span CallBackoff::AfterRefusal(bool at_once, bool peers_current) {
-  ++refusals_;
-  const bool jammed = large_ && refusals_ > kQuickRefusals;
-  if (peers_current || jammed) {
-    const Span wait = Between(relaxed_mean_ / 2, relaxed_mean_ * 3 / 2);
-    relaxed_mean_ = std::min(2 * relaxed_mean_, kLongestRelaxedMean);
-    return wait;
+CallBackoff::Span CallBackoff::DelayAfterRefusal(bool immediate, bool peers_current) {
+  ++consecutive_refusals_;
+  const bool queue_stays_full = large_tier_ && consecutive_refusals_ > kQuickRetries;
+  if (peers_current || queue_stays_full) {
+    const Span delay = UniformBetween(relaxed_mean_delay_ / 2, relaxed_mean_delay_ * 3 / 2);
+    relaxed_mean_delay_ = std::min(2 * relaxed_mean_delay_, kMaxRelaxedMeanDelay);
+    return delay;
   }
-  if (at_once) return Between(kLeastAtOnce, kMostAtOnce);
-  return refusals_ > 1 ? Between(kLeastAfterLater, kMostAfterLater)
-                       : Between(kLeastAfterFirst, kMostAfterFirst);
+  if (immediate) return UniformBetween(kMinDelayAfterRefusal, kMaxDelayAfterRefusal);
+  return consecutive_refusals_ > 1 ? UniformBetween(kMinDelayAfterLaterOverload, kMaxDelayAfterLaterOverload)
+                                   : UniformBetween(kMinDelayAfterFirstOverload, kMaxDelayAfterFirstOverload);
 }
 
-CallBackoff::Span CallBackoff::Between(Span least, Span most) {
-  return Span(std::uniform_int_distribution<Span::rep>(least.count(), most.count())(random_));
+CallBackoff::Span CallBackoff::UniformBetween(Span min, Span max) {
+  return Span(std::uniform_int_distribution<Span::rep>(min.count(), max.count())(random_));
 }
 
 }  // namespace umberdyke::net
--- a/src/membership/call_backoff.h
+++ b/src/membership/call_backoff.h
@@ -41,20 +41,20 @@
   Span NextDelay(CallFailure failure, bool peers_current);
 
  private:
-  Span AfterRefusal(bool at_once, bool peers_current);
-  Span Between(Span least, Span most);
+  Span DelayAfterRefusal(bool immediate, bool peers_current);
+  Span UniformBetween(Span min, Span max);
 
   std::mt19937_64 random_;
-  const Span spread_;
-  Span mean_ = kFirstMean;
-  const bool large_;
-  int refusals_ = 0;  // in a row
-  Span relaxed_mean_ = kFirstRelaxedMean;
-
-  static constexpr Span kFirstMean = std::chrono::milliseconds(150);
-  static constexpr Span kLongestMean = std::chrono::milliseconds(600);
-  static constexpr Span kFirstRelaxedMean = std::chrono::seconds(3);
-  static constexpr Span kLongestRelaxedMean = std::chrono::seconds(6);
+  const Span max_reconnect_jitter_;
+  Span mean_delay_ = kInitialMeanDelay;
+  const bool large_tier_;
+  int consecutive_refusals_ = 0;  // in a row
+  Span relaxed_mean_delay_ = kInitialRelaxedMeanDelay;
+
+  static constexpr Span kInitialMeanDelay = std::chrono::milliseconds(150);
+  static constexpr Span kMaxMeanDelay = std::chrono::milliseconds(600);
+  static constexpr Span kInitialRelaxedMeanDelay = std::chrono::seconds(3);
+  static constexpr Span kMaxRelaxedMeanDelay = std::chrono::seconds(6);
 };
 
 }  // namespace umberdyke::net
--- a/src/membership/discovery_source.h
+++ b/src/membership/discovery_source.h
@@ -23,18 +23,19 @@
 // One call for the list and its changes, until it fails or is not wanted any more.
 class ListWatch : public StreamUser {
  public:
-  struct Owner {
-    std::function<void(std::string_view)> item;  // whole; empty: only that the watch lives
+  struct Callbacks {
+    std::function<void(std::string_view)> on_item;  // whole; empty: only that the watch lives
     // Nothing whole has come for the time of a heartbeat, though the call was taken: discovery may still be
     // at work on a long list. It is waited for, if the owner says so.
-    std::function<bool()> slow;
-    std::function<void(CallFailure)> failed;  // once; the watch may be destroyed after this returns
+    std::function<bool()> on_slow;
+    std::function<void(CallFailure)> on_failure;  // once; the watch may be destroyed after this returns
   };
   // Not up after `connect_time`: broken.
-  ListWatch(Loop& loop, const Address& discovery, std::int64_t version, Span connect_time, Owner owner);
+  ListWatch(Loop& loop, const Address& discovery, std::int64_t version, Span connect_time,
+            Callbacks callbacks);
   void Close();
   // Discovery has let the call wait in its turn: it can be reached, even if the call fails after that.
-  bool Held() const;
+  bool WasQueued() const;
   // Since the call was made, in whole milliseconds.
   std::int64_t AgeMs() const;
   // Of the answer so far, its head included.
@@ -43,7 +44,7 @@
   bool answered() const { return answered_; }
   void MarkAnswered() { answered_ = true; }
   // Whether anything whole has come, if only an empty line.
-  bool heard() const { return heard_; }
+  bool received_any() const { return received_any_; }
 
  private:
   void OnConnected(bool ok) override;
@@ -52,76 +53,76 @@
   void OnWritten(bool ok) override {
     if (!ok) Fail(CallFailure::kUnreachable);
   }
-  void Silent();
+  void OnHeartbeatTimeout();
   void Fail(CallFailure failure);
 
   const std::string request_;
-  const Owner owner_;
+  const Callbacks callbacks_;
   Stream stream_;
   HttpParser parser_{HttpParser::Kind::kResponse};
   ListCutter cutter_;
-  const Time called_ = Clock::now();
+  const Time started_ = Clock::now();
   Time connected_ = Time::max();
   std::int64_t bytes_ = 0;
   bool answered_ = false;
-  bool heard_ = false;
-  bool slow_ = false;  // its owner waits for it
-  Timer silence_;
+  bool received_any_ = false;
+  bool waiting_for_slow_answer_ = false;  // its owner waits for it
+  Timer heartbeat_timer_;
 };
 
 class DiscoverySource : public MemberSource {
  public:
   // `version` is the one of the list that the sidecar holds already.
   DiscoverySource(Loop& loop, const Platform& platform, const Config& config, std::int64_t version,
-                  Counters& counters, log::Log& log, Owner owner);
+                  Counters& counters, log::Log& log, Callbacks callbacks);
 
   void Watch(bool on) override;
   std::int64_t version() const override { return version_; }
-  bool MayBeStale() const override { return watch_ == nullptr || !watch_->heard(); }
-  void OnPeerCurrent() override { peer_current_ = Clock::now(); }
-  void Reload(const Config& next) override { MoveTo(next.discovery); }
+  bool MayBeStale() const override { return watch_ == nullptr || !watch_->received_any(); }
+  void OnPeerCurrent() override { peer_current_at_ = Clock::now(); }
+  void Reload(const Config& next) override { ChangeAddress(next.discovery); }
 
  private:
   // Discovery stands elsewhere from now on. Its list is asked for whole there; the old watch goes on until
   // the new one tells something.
-  void MoveTo(const Address& discovery);
-  void Ask();
-  bool PeersKeepUp() const;
-  void AskSoonest();
-  bool TakeForBack();
-  bool WaitFor(const ListWatch* call);
+  void ChangeAddress(const Address& discovery);
+  void StartCall();
+  bool PeersAreCurrent() const;
+  void CallWhenAllowed();
+  bool DetectRecovery();
+  bool KeepSlowCall(const ListWatch* call);
   // Something else is to be believed from now on: the present watch counts until that tells something.
-  void AskBeside();
-  void HeardOn(const ListWatch* call, std::string_view text);
-  void TakeItem(std::string_view text, bool from_old);
-  void Unreadable(bool from_old);
-  void NoteAnswer(const ServerListChange& change);
-  void Failed(CallFailure failure);
-  void Drop(std::unique_ptr<ListWatch>& watch, const char* why);
+  void StartReplacementCall();
+  void OnItem(const ListWatch* call, std::string_view text);
+  void ProcessItem(std::string_view text, bool from_previous);
+  void OnUnreadableItem(bool from_previous);
+  void LogFirstAnswer(const ServerListChange& change);
+  void OnCallFailed(CallFailure failure);
+  void EndCall(std::unique_ptr<ListWatch>& watch, const char* why);
   Span Jittered(Span time);
 
   Loop& loop_;
   const Platform& platform_;
-  Address discovery_;
-  const bool pushed_;
+  Address address_;
+  const bool push_mode_;
   Counters& counters_;
   log::Log& log_;
-  const Owner owner_;
+  const Callbacks callbacks_;
   std::mt19937_64 random_;
   std::int64_t version_;
   bool wanted_ = false;
   std::unique_ptr<ListWatch> watch_;
   std::unique_ptr<ListWatch>
-      old_;  // at the address before the last move, or one that told what can't be read
-  std::unique_ptr<ListWatch> slow_;  // a call that is waited for while another is made
-  Time soon_until_{};                // calls that fail are made again by this source until then
-  Time peer_current_ = Time::min();  // when a peer was last current
-  Time not_before_{};                // no call is made sooner, whoever asks
-  bool away_ = false;                // out of reach, or refused at once, for long
+      previous_;  // at the address before the last move, or one that told what can't be read
+  std::unique_ptr<ListWatch> slow_;     // a call that is waited for while another is made
+  Time quick_retry_until_{};            // calls that fail are made again by this source until then
+  Time peer_current_at_ = Time::min();  // when a peer was last current
+  Time earliest_call_{};                // no call is made sooner, whoever asks
+  bool unavailable_ = false;            // out of reach, or refused at once, for long
   CallBackoff backoff_;
-  Span unread_backoff_{};  // of calls for what could not be read
-  Timer again_;
-  Timer anew_;
+  Span refetch_delay_{};  // of calls for what could not be read
+  Timer retry_timer_;
+  Timer refetch_timer_;
 };
 
 }  // namespace umberdyke::net
--- a/src/membership/file_source.cpp
+++ b/src/membership/file_source.cpp
@@ -7,31 +7,31 @@
 
 using namespace std::chrono_literals;
 
-constexpr size_t kLargestList = size_t{8} << 20;
+constexpr size_t kMaxFileBytes = size_t{8} << 20;
 
 }  // namespace
 
 FileSource::FileSource(Loop& loop, const Platform& platform, std::string path, Counters& counters,
-                       log::Log& log, Owner owner)
+                       log::Log& log, Callbacks callbacks)
     : platform_(platform),
       path_(std::move(path)),
       counters_(counters),
       log_(log),
-      owner_(std::move(owner)),
-      soon_(loop, [this] { Read(); }) {}
+      callbacks_(std::move(callbacks)),
+      read_timer_(loop, [this] { ReadFile(); }) {}
 
 void FileSource::Watch(bool on) {
-  if (on && !wanted_) soon_.Start(0ms);
+  if (on && !wanted_) read_timer_.Start(0ms);
   wanted_ = on;
 }
 
 void FileSource::Reload(const Config& next) {
   if (next.membership) path_ = next.membership->path;
-  if (wanted_) soon_.Start(0ms);
+  if (wanted_) read_timer_.Start(0ms);
 }
 
-void FileSource::Read() {
-  const files::ReadResult read = files::ReadWhole(path_, kLargestList);
+void FileSource::ReadFile() {
+  const files::ReadResult read = files::ReadWhole(path_, kMaxFileBytes);
   const auto list = read.error.empty() ? platform_.ParseServerList(read.text) : std::nullopt;
   // A list with a line that makes no sense would drop that server: better the whole old list than half a new
   // one.
@@ -45,7 +45,7 @@
     return;
   }
   counters_.Add("membership_file_read");
-  owner_.told(*list, ListUpdate::kComplete);
+  callbacks_.on_list(*list, ListUpdate::kComplete);
 }
 
 }  // namespace umberdyke::net
--- a/src/membership/file_source.h
+++ b/src/membership/file_source.h
@@ -12,20 +12,20 @@
 class FileSource : public MemberSource {
  public:
   FileSource(Loop& loop, const Platform& platform, std::string path, Counters& counters, log::Log& log,
-             Owner owner);
+             Callbacks callbacks);
   void Watch(bool on) override;
   void Reload(const Config& next) override;
 
  private:
-  void Read();
+  void ReadFile();
 
   const Platform& platform_;
   std::string path_;
   Counters& counters_;
   log::Log& log_;
-  const Owner owner_;
+  const Callbacks callbacks_;
   bool wanted_ = false;
-  Timer soon_;  // the list is never told from inside the call that asks for it
+  Timer read_timer_;  // the list is never told from inside the call that asks for it
 };
 
 }  // namespace umberdyke::net
--- a/src/membership/nodes_source.cpp
+++ b/src/membership/nodes_source.cpp
@@ -9,30 +9,30 @@
 
 using namespace std::chrono_literals;
 using log::Event;
-using reconcile::Standing;
+using reconcile::ServerState;
 
 // Between two readings of the list of names, and more for a long one: a storm of changes is read in one go.
 // Servers that go are told by notices of their own and wait for none of this.
-constexpr Span kNamesPace = 20ms;
-constexpr Span kNamesPaceEach = 10us;
-constexpr Span kStaleAgain = 100ms;       // a member that lags is asked again after this
-constexpr Span kMissingAgain = 1s;        // the path does not exist yet
-constexpr Span kTellPace = 5ms;           // new servers are told together
-constexpr Span kForgetLast = 60s;         // nobody takes a server back that was told gone so long ago
-constexpr Span kRenewAfter = 50ms;        // after a session that has expired
-constexpr Span kRegisterAgain = 500ms;    // after a refusal: a member that writes nothing may do so again
-constexpr const char* kKnown = "known/";  // names for servers of the list that the sidecar started with: no
-                                          // node has a slash in its name
+constexpr Span kMinChildrenReadInterval = 20ms;
+constexpr Span kChildrenReadIntervalPerServer = 10us;
+constexpr Span kStaleViewRetry = 100ms;    // a member that lags is asked again after this
+constexpr Span kMissingPathRetry = 1s;     // the path does not exist yet
+constexpr Span kPublishDelay = 5ms;        // new servers are told together
+constexpr Span kLastKnownRetention = 60s;  // nobody takes a server back that was told gone so long ago
+constexpr Span kSessionRenewDelay = 50ms;  // after a session that has expired
+constexpr Span kRegisterRetry = 500ms;     // after a refusal: a member that writes nothing may do so again
+constexpr const char* kInitialNodePrefix = "known/";  // names for servers of the list that the sidecar
+                                                      // started with: no node has a slash in its name
 
-reconcile::Guard GuardOf(const Membership& settings) {
-  reconcile::Guard guard;
-  guard.share = settings.guard_share;
-  guard.within = settings.guard_within;
-  guard.hold_most = settings.guard_hold;
-  return guard;
+reconcile::Limits LimitsOf(const Membership& settings) {
+  reconcile::Limits limits;
+  limits.mass_removal_share = settings.guard_share;
+  limits.mass_removal_window = settings.guard_within;
+  limits.max_hold = settings.guard_hold;
+  return limits;
 }
 
-nodes::ClientSettings ClientOf(const Membership& settings) {
+nodes::ClientSettings ClientSettingsOf(const Membership& settings) {
   nodes::ClientSettings client;
   client.servers = settings.servers;
   client.session = std::chrono::duration_cast<std::chrono::milliseconds>(settings.session);
@@ -51,31 +51,32 @@
 
 NodesSource::NodesSource(Loop& loop, const Platform& platform, const Membership& settings,
                          std::string own_data, const ServerListChange& known, Counters& counters,
-                         log::Log& log, Owner owner)
+                         log::Log& log, Callbacks callbacks)
     : platform_(platform),
       settings_(settings),
       own_data_(std::move(own_data)),
       counters_(counters),
       log_(log),
-      owner_(std::move(owner)),
-      reconciler_(GuardOf(settings)),
-      names_timer_(loop, [this] { ReadNames(); }),
-      tell_timer_(loop, [this] { Tell(); }),
-      tick_timer_(loop, [this] { Ticked(); }),
+      callbacks_(std::move(callbacks)),
+      reconciler_(LimitsOf(settings)),
+      children_timer_(loop, [this] { ReadChildren(); }),
+      publish_timer_(loop, [this] { Publish(); }),
+      tick_timer_(loop, [this] { RunReconciler(); }),
       renew_timer_(loop, [this] { client_.Renew(); }),
       register_timer_(loop, [this] { Register(); }),
-      client_(loop, ClientOf(settings),
+      client_(loop, ClientSettingsOf(settings),
               {[this](nodes::Session session) { OnSession(session); },
-               [this](nodes::Notice notice, const std::string& path) { OnNotice(notice, path); }}) {
+               [this](nodes::Notice notice, const std::string& path) { OnWatchEvent(notice, path); }}) {
   // The list that the sidecar starts with stands until the service says otherwise, and is guarded like any
   // other.
   for (const ListedServer& server : known.servers) {
-    const std::string name = kKnown + server.id;
-    data_[name] = server;
-    reconciler_.Data(Clock::now(), name,
-                     {server.id, PrintAddress(server.address), server.state != UpstreamState::kReady}, 1, 1);
+    const std::string name = kInitialNodePrefix + server.id;
+    servers_by_node_[name] = server;
+    reconciler_.OnNodeData(Clock::now(), name,
+                           {server.id, PrintAddress(server.address), server.state != UpstreamState::kReady},
+                           1, 1);
   }
-  reconciler_.Take();  // the module has it already
+  reconciler_.TakeChanges();  // the module has it already
 }
 
 void NodesSource::Watch(bool on) {
@@ -94,38 +95,38 @@
 void NodesSource::OnSession(nodes::Session session) {
   switch (session) {
     case nodes::Session::kConnected:
-      if (interrupted_ || !loaded_) {
+      if (connection_lost_ || !loaded_) {
         log_.Say(Event::kMembershipConnected,
                  "the coordination service is connected, with " + std::to_string(reconciler_.size()) +
                      " servers known",
                  {{"servers", static_cast<std::int64_t>(reconciler_.size())}});
       }
-      interrupted_ = false;
+      connection_lost_ = false;
       counters_.Add("membership_connected");
-      names_due_ = true;
-      names_timer_.Start(0ms);
+      children_read_due_ = true;
+      children_timer_.Start(0ms);
       Register();
       return;
     case nodes::Session::kInterrupted:
       // One line for a run of tries: the service may be away for days.
-      if (!interrupted_) {
+      if (!connection_lost_) {
         log_.Say(Event::kMembershipInterrupted,
                  "the coordination service is out of reach; the list of " +
                      std::to_string(reconciler_.size()) + " servers stays",
                  {{"servers", static_cast<std::int64_t>(reconciler_.size())}});
         counters_.Add("membership_interrupted");
       }
-      interrupted_ = true;
+      connection_lost_ = true;
       return;
     case nodes::Session::kExpired:
       log_.Say(Event::kMembershipExpired,
                "the session with the coordination service has expired; a new one is made");
       counters_.Add("membership_expired");
-      interrupted_ = true;
+      connection_lost_ = true;
       registered_ = false;
-      names_out_ = false;
-      reading_.clear();
-      renew_timer_.Start(kRenewAfter);
+      children_read_in_flight_ = false;
+      reads_in_flight_.clear();
+      renew_timer_.Start(kSessionRenewDelay);
       return;
     case nodes::Session::kAuthFailed:
       log_.Say(Event::kMembershipRefused,
@@ -136,139 +137,142 @@
   }
 }
 
-void NodesSource::OnNotice(nodes::Notice notice, const std::string& path) {
+void NodesSource::OnWatchEvent(nodes::Notice notice, const std::string& path) {
   counters_.Add("membership_notices");
   if (path == settings_.path) {
-    names_due_ = true;
-    const Span pace = kNamesPace + kNamesPaceEach * static_cast<Span::rep>(reconciler_.size());
-    names_timer_.Start(std::max<Span>(0ms, names_read_ + pace - Clock::now()));
+    children_read_due_ = true;
+    const Span interval = kMinChildrenReadInterval +
+                          kChildrenReadIntervalPerServer * static_cast<Span::rep>(reconciler_.size());
+    children_timer_.Start(std::max<Span>(0ms, last_children_read_ + interval - Clock::now()));
     return;
   }
   if (!path.starts_with(settings_.path + "/")) return;
   const std::string name = path.substr(settings_.path.size() + 1);
   if (notice == nodes::Notice::kDeleted) {
-    Lose(name);
-    Later();
+    OnNodeDeleted(name);
+    SchedulePublish();
   } else if (notice == nodes::Notice::kChanged) {
     ReadNode(name);
   }
 }
 
-void NodesSource::Lose(const std::string& name) {
-  reconciler_.Gone(Clock::now(), name);
-  const auto it = data_.find(name);
-  if (it == data_.end()) return;
-  Last& last = last_[it->second.id];
-  last = {std::move(it->second), {}};
-  data_.erase(it);
+void NodesSource::OnNodeDeleted(const std::string& name) {
+  reconciler_.OnNodeDeleted(Clock::now(), name);
+  const auto it = servers_by_node_.find(name);
+  if (it == servers_by_node_.end()) return;
+  LastKnown& last_known = last_known_[it->second.id];
+  last_known = {std::move(it->second), {}};
+  servers_by_node_.erase(it);
 }
 
-void NodesSource::ReadNames() {
-  if (!names_due_ || names_out_ || !client_.connected()) return;
-  names_due_ = false;
-  names_out_ = true;
-  names_read_ = Clock::now();
+void NodesSource::ReadChildren() {
+  if (!children_read_due_ || children_read_in_flight_ || !client_.connected()) return;
+  children_read_due_ = false;
+  children_read_in_flight_ = true;
+  last_children_read_ = Clock::now();
   counters_.Add("membership_list_reads");
   client_.Children(settings_.path, [this](int rc, const std::vector<std::string>& names,
-                                          const nodes::NodeStat& stat) { TakeNames(rc, names, stat); });
+                                          const nodes::NodeStat& stat) { OnChildren(rc, names, stat); });
 }
 
-void NodesSource::TakeNames(int rc, const std::vector<std::string>& names, const nodes::NodeStat& stat) {
+void NodesSource::OnChildren(int rc, const std::vector<std::string>& names, const nodes::NodeStat& stat) {
   if (rc == nodes::kClosing) return;
-  names_out_ = false;
+  children_read_in_flight_ = false;
   if (rc == nodes::kNoNode) {
     // Nobody has registered yet, or the path is wrong: no reason to drop whom we know.
     counters_.Add("membership_path_missing");
-    names_due_ = true;
-    return names_timer_.Start(kMissingAgain);
+    children_read_due_ = true;
+    return children_timer_.Start(kMissingPathRetry);
   }
   if (rc != nodes::kOk) {
-    names_due_ = true;  // the next connection asks again
+    children_read_due_ = true;  // the next connection asks again
     return;
   }
   const std::uint64_t stale = reconciler_.counts().stale_views;
   // Whoever is missing from the view goes as if a notice had told of it; its data is kept for as long as it
   // may be needed.
-  const std::vector<std::string> wanted = reconciler_.View(Clock::now(), stat.listed, names);
-  for (auto it = data_.begin(); it != data_.end();) {
-    if (reconciler_.Lists(it->first)) {
+  const std::vector<std::string> wanted = reconciler_.OnNodeList(Clock::now(), stat.listed, names);
+  for (auto it = servers_by_node_.begin(); it != servers_by_node_.end();) {
+    if (reconciler_.HasNode(it->first)) {
       ++it;
       continue;
     }
-    Last& last = last_[it->second.id];
-    last = {std::move(it->second), {}};
-    it = data_.erase(it);
+    LastKnown& last_known = last_known_[it->second.id];
+    last_known = {std::move(it->second), {}};
+    it = servers_by_node_.erase(it);
   }
   if (reconciler_.counts().stale_views > stale) {
     counters_.Add("membership_stale_views");
-    names_due_ = true;
-    return names_timer_.Start(kStaleAgain);
+    children_read_due_ = true;
+    return children_timer_.Start(kStaleViewRetry);
   }
-  std::unordered_set<std::string> again;
-  again.swap(unread_);
+  std::unordered_set<std::string> retries;
+  retries.swap(failed_reads_);
   for (const std::string& name : wanted) ReadNode(name);
-  for (const std::string& name : again) ReadNode(name);
+  for (const std::string& name : retries) ReadNode(name);
   // What came while this reading was out is read next, at its pace.
-  if (names_due_) names_timer_.Start(kNamesPace);
-  Later();
+  if (children_read_due_) children_timer_.Start(kMinChildrenReadInterval);
+  SchedulePublish();
 }
 
 void NodesSource::ReadNode(const std::string& name) {
   // A change that comes while its data is read has a notice of its own once the reading is done.
-  if (!reading_.insert(name).second) return;
+  if (!reads_in_flight_.insert(name).second) return;
   counters_.Add("membership_node_reads");
   client_.Get(PathOf(name), [this, name](int rc, const std::string& data, const nodes::NodeStat& stat) {
-    TakeNode(name, rc, data, stat);
+    OnNodeData(name, rc, data, stat);
   });
 }
 
-void NodesSource::TakeNode(const std::string& name, int rc, const std::string& data,
-                           const nodes::NodeStat& stat) {
+void NodesSource::OnNodeData(const std::string& name, int rc, const std::string& data,
+                             const nodes::NodeStat& stat) {
   if (rc == nodes::kClosing) return;
-  reading_.erase(name);
+  reads_in_flight_.erase(name);
   const Time now = Clock::now();
   if (rc == nodes::kNoNode) {
-    Lose(name);
+    OnNodeDeleted(name);
   } else if (rc != nodes::kOk) {
-    unread_.insert(name);  // the next connection asks again
-    names_due_ = true;
+    failed_reads_.insert(name);  // the next connection asks again
+    children_read_due_ = true;
   } else if (const auto server = platform_.ParseMember(data, name)) {
     const bool draining = server->state != UpstreamState::kReady;
-    data_[name] = *server;
-    reconciler_.Data(now, name, {server->id, PrintAddress(server->address), draining}, stat.birth,
-                     stat.changed);
+    servers_by_node_[name] = *server;
+    reconciler_.OnNodeData(now, name, {server->id, PrintAddress(server->address), draining}, stat.birth,
+                           stat.changed);
   } else {
     counters_.Add("membership_malformed");
-    reconciler_.Malformed(now, name, stat.birth, stat.changed);
+    reconciler_.OnMalformedData(now, name, stat.birth, stat.changed);
   }
-  Later();
+  SchedulePublish();
 }
 
 // Those that leave are told at once, and the rest together a little later.
-void NodesSource::Later() { tell_timer_.Start(kTellPace); }
+void NodesSource::SchedulePublish() { publish_timer_.Start(kPublishDelay); }
 
-void NodesSource::Tell() {
+void NodesSource::Publish() {
   // Half of a first list would crowd the servers on it.
-  if (!loaded_ && (names_out_ || !reading_.empty() || reconciler_.seen() == 0)) return;
+  if (!loaded_ &&
+      (children_read_in_flight_ || !reads_in_flight_.empty() || reconciler_.last_list_zxid() == 0))
+    return;
   loaded_ = true;
   reconciler_.Tick(Clock::now());
   ServerListChange change;
-  for (const reconcile::Told& told : reconciler_.Take()) {
+  for (const reconcile::StateChange& server_change : reconciler_.TakeChanges()) {
     ListedServer server;
-    if (const auto it = data_.find(told.node); it != data_.end()) {
+    if (const auto it = servers_by_node_.find(server_change.node); it != servers_by_node_.end()) {
       server = it->second;
-    } else if (const auto last = last_.find(told.id); last != last_.end()) {
-      server = last->second.server;
-      last->second.told_gone = told.standing == Standing::kGone ? Clock::now() : Time();
+    } else if (const auto last_known = last_known_.find(server_change.id); last_known != last_known_.end()) {
+      server = last_known->second.server;
+      last_known->second.reported_gone = server_change.state == ServerState::kGone ? Clock::now() : Time();
     }
-    server.id = told.id;
-    server.state = told.standing == Standing::kReady      ? UpstreamState::kReady
-                   : told.standing == Standing::kDraining ? UpstreamState::kDraining
-                                                          : UpstreamState::kGone;
+    server.id = server_change.id;
+    server.state = server_change.state == ServerState::kReady      ? UpstreamState::kReady
+                   : server_change.state == ServerState::kDraining ? UpstreamState::kDraining
+                                                                   : UpstreamState::kGone;
     change.servers.push_back(std::move(server));
   }
-  std::erase_if(last_, [now = Clock::now()](const auto& one) {
-    return one.second.told_gone != Time() && now - one.second.told_gone > kForgetLast;
+  std::erase_if(last_known_, [now = Clock::now()](const auto& one) {
+    return one.second.reported_gone != Time() && now - one.second.reported_gone > kLastKnownRetention;
   });
   if (reconciler_.holding() != was_holding_) {
     was_holding_ = !was_holding_;
@@ -280,30 +284,31 @@
              {{"held", held}});
     counters_.Add(was_holding_ ? "membership_holds" : "membership_holds_ended");
   }
-  Ticked();
-  if (!change.servers.empty()) owner_.told(change, ListUpdate::kChanges);
+  RunReconciler();
+  if (!change.servers.empty()) callbacks_.on_list(change, ListUpdate::kChanges);
 }
 
-void NodesSource::Ticked() {
+void NodesSource::RunReconciler() {
   reconciler_.Tick(Clock::now());
-  if (const auto due = reconciler_.Due()) tick_timer_.Start(std::max<Span>(1ms, *due - Clock::now()));
-  if (reconciler_.changed()) Later();
+  if (const auto due = reconciler_.NextDeadline())
+    tick_timer_.Start(std::max<Span>(1ms, *due - Clock::now()));
+  if (reconciler_.has_changes()) SchedulePublish();
 }
 
 void NodesSource::OnConnectionResult(const std::string& id, bool connected) {
   if (connected || !reconciler_.holding()) return;
-  reconciler_.Heard(Clock::now(), id, false);
-  Later();
+  reconciler_.OnConnectionResult(Clock::now(), id, false);
+  SchedulePublish();
 }
 
 // The sidecar's own node, so that those who call it find it as it finds its servers.
 void NodesSource::Register() {
-  if (settings_.register_path.empty() || withdrawn_ || registered_ || !client_.connected()) return;
+  if (settings_.register_path.empty() || deregistered_ || registered_ || !client_.connected()) return;
   client_.CreateEphemeral(settings_.register_path, own_data_, [this](int rc) {
     if (rc == nodes::kOk) {
       registered_ = true;
       counters_.Add("membership_registered");
-    } else if (rc == nodes::kNodeExists && !withdrawn_) {
+    } else if (rc == nodes::kNodeExists && !deregistered_) {
       // Of an earlier life whose session has not run out: it would vanish under us.
       client_.Delete(settings_.register_path, [this](int deleted) {
         if (deleted == nodes::kOk || deleted == nodes::kNoNode) Register();
@@ -312,13 +317,13 @@
       const std::string why = nodes::ErrorText(rc);
       log_.Say(Event::kMembershipRefused, "this sidecar could not be registered: " + why, {{"why", why}});
       counters_.Add("membership_not_registered");
-      register_timer_.Start(kRegisterAgain);
+      register_timer_.Start(kRegisterRetry);
     }
   });
 }
 
 void NodesSource::Deregister() {
-  withdrawn_ = true;
+  deregistered_ = true;
   if (settings_.register_path.empty()) return;
   // A process that replaces this one has made the node its own; then it is not this one's to take away.
   client_.Exists(settings_.register_path, false, [this](int rc, const nodes::NodeStat& stat) {
--- a/src/membership/nodes_source.h
+++ b/src/membership/nodes_source.h
@@ -20,7 +20,7 @@
 class NodesSource : public MemberSource {
  public:
   NodesSource(Loop& loop, const Platform& platform, const Membership& settings, std::string own_data,
-              const ServerListChange& known, Counters& counters, log::Log& log, Owner owner);
+              const ServerListChange& known, Counters& counters, log::Log& log, Callbacks callbacks);
 
   void Watch(bool on) override;
   void Reload(const Config& next) override;
@@ -29,16 +29,16 @@
 
  private:
   void OnSession(nodes::Session session);
-  void OnNotice(nodes::Notice notice, const std::string& path);
-  void ReadNames();
+  void OnWatchEvent(nodes::Notice notice, const std::string& path);
+  void ReadChildren();
   void ReadNode(const std::string& name);
-  void TakeNames(int rc, const std::vector<std::string>& names, const nodes::NodeStat& stat);
-  void TakeNode(const std::string& name, int rc, const std::string& data, const nodes::NodeStat& stat);
+  void OnChildren(int rc, const std::vector<std::string>& names, const nodes::NodeStat& stat);
+  void OnNodeData(const std::string& name, int rc, const std::string& data, const nodes::NodeStat& stat);
   void Register();
-  void Lose(const std::string& name);
-  void Later();
-  void Tell();
-  void Ticked();
+  void OnNodeDeleted(const std::string& name);
+  void SchedulePublish();
+  void Publish();
+  void RunReconciler();
   std::string PathOf(const std::string& name) const { return settings_.path + "/" + name; }
 
   const Platform& platform_;
@@ -46,28 +46,28 @@
   const std::string own_data_;  // of this sidecar's own node
   Counters& counters_;
   log::Log& log_;
-  const Owner owner_;
+  const Callbacks callbacks_;
   reconcile::Reconciler reconciler_;
-  std::unordered_map<std::string, ListedServer> data_;  // by node's name, as last read
+  std::unordered_map<std::string, ListedServer> servers_by_node_;  // by node's name, as last read
   // By id, of nodes that went: a server that was told gone may be kept all the same, once it shows that many
   // went together, and has to be told as it was.
-  struct Last {
+  struct LastKnown {
     ListedServer server;
-    Time told_gone{};  // Time(): it was not
+    Time reported_gone{};  // Time(): it was not
   };
-  std::unordered_map<std::string, Last> last_;
-  std::unordered_set<std::string> reading_;  // nodes whose data is on its way
-  std::unordered_set<std::string> unread_;   // whose reading failed with the connection
+  std::unordered_map<std::string, LastKnown> last_known_;
+  std::unordered_set<std::string> reads_in_flight_;  // nodes whose data is on its way
+  std::unordered_set<std::string> failed_reads_;     // whose reading failed with the connection
   bool wanted_ = false;
-  bool names_due_ = false;  // a reading of the list is wanted
-  bool names_out_ = false;  // and one is on its way
-  bool loaded_ = false;     // the first list is complete
-  bool withdrawn_ = false;
+  bool children_read_due_ = false;        // a reading of the list is wanted
+  bool children_read_in_flight_ = false;  // and one is on its way
+  bool loaded_ = false;                   // the first list is complete
+  bool deregistered_ = false;
   bool registered_ = false;
   bool was_holding_ = false;
-  bool interrupted_ = false;
-  Time names_read_{};
-  Timer names_timer_, tell_timer_, tick_timer_, renew_timer_, register_timer_;
+  bool connection_lost_ = false;
+  Time last_children_read_{};
+  Timer children_timer_, publish_timer_, tick_timer_, renew_timer_, register_timer_;
   nodes::NodeClient client_;  // last: its calls end in its destructor
 };
 
--- a/src/membership/peer_exchange.h
+++ b/src/membership/peer_exchange.h
@@ -27,15 +27,15 @@
 
  private:
   void Tick();
-  void Ask();
-  void Receive(const Address& from, std::string_view bytes);
-  void Answer(const Address& to, const PeerQuery& question);
-  void Take(const PeerReport& news);
-  bool IsPeer(const Address& address) const;
-
-  const PeerSettings peers_;
-  std::vector<Address> others_;
-  std::unordered_set<std::string> printed_;  // the same
+  void SendQuery();
+  void OnDatagram(const Address& from, std::string_view bytes);
+  void SendReply(const Address& to, const PeerQuery& query);
+  void OnReport(const PeerReport& report);
+  bool IsKnownPeer(const Address& address) const;
+
+  const PeerSettings settings_;
+  std::vector<Address> peers_;
+  std::unordered_set<std::string> peer_addresses_;  // the same
   MemberSource& source_;
   ServerList& server_list_;
   Counters& counters_;
--- a/src/membership/peer_message.h
+++ b/src/membership/peer_message.h
@@ -28,7 +28,7 @@
 };
 
 struct ClosedServer {
-  IncarnationHash life = 0;
+  IncarnationHash incarnation = 0;
   std::uint32_t version = 0;  // of the list that told it
   friend bool operator==(const ClosedServer&, const ClosedServer&) = default;
 };
@@ -40,9 +40,9 @@
 
 using PeerMessage = std::variant<PeerQuery, PeerReport>;
 
-std::string EncodePeerQuery(const PeerQuery& question);
+std::string EncodePeerQuery(const PeerQuery& query);
 // As many datagrams as it takes, at least one and at most so many; the oldest come first.
-std::vector<std::string> EncodePeerReport(const PeerReport& news, size_t most);
+std::vector<std::string> EncodePeerReport(const PeerReport& report, size_t max_datagrams);
 std::optional<PeerMessage> DecodePeerMessage(std::string_view bytes);
 
 }  // namespace umberdyke::net
--- a/src/membership/server_list.h
+++ b/src/membership/server_list.h
@@ -22,9 +22,9 @@
   std::string id;
   Address address{};
   UpstreamState state = UpstreamState::kReady;
-  Time gone{};                      // when the list told that it has gone
+  Time gone_at{};                   // when the list told that it has gone
   std::int64_t closed_version = 0;  // the version of the list that told that it drains or is gone
-  ListedServer listed;              // as the list told it last
+  ListedServer last_listed;         // as the list told it last
 };
 
 struct ListChange {
@@ -69,9 +69,9 @@
   Counters& counters_;
   const ChangeCallback on_change_;
   std::unordered_map<ServerId, ServerRecord> servers_;
-  std::unordered_map<std::string, ServerId> numbers_;
-  std::unordered_map<IncarnationHash, ServerId> lives_;  // of those that are ready
-  ServerId next_ = 0;                                    // numbers are not used again
+  std::unordered_map<std::string, ServerId> ids_by_name_;
+  std::unordered_map<IncarnationHash, ServerId> ready_by_incarnation_;  // of those that are ready
+  ServerId next_id_ = 0;                                                // numbers are not used again
 };
 
 }  // namespace umberdyke::net
--- a/src/membership/source.cpp
+++ b/src/membership/source.cpp
@@ -8,17 +8,17 @@
 
 std::unique_ptr<MemberSource> MakeSource(Loop& loop, const Platform& platform, const Config& config,
                                          const ServerListChange& known, Counters& counters, log::Log& log,
-                                         MemberSource::Owner owner) {
+                                         MemberSource::Callbacks callbacks) {
   if (!config.membership) {
     return std::make_unique<DiscoverySource>(loop, platform, config, known.version, counters, log,
-                                             std::move(owner));
+                                             std::move(callbacks));
   }
   if (config.membership->kind == Membership::Kind::kFile) {
     return std::make_unique<FileSource>(loop, platform, config.membership->path, counters, log,
-                                        std::move(owner));
+                                        std::move(callbacks));
   }
   return std::make_unique<NodesSource>(loop, platform, *config.membership, Platform::FormatMember(config),
-                                       known, counters, log, std::move(owner));
+                                       known, counters, log, std::move(callbacks));
 }
 
 }  // namespace umberdyke::net
--- a/src/membership/source.h
+++ b/src/membership/source.h
@@ -21,11 +21,11 @@
 
 class MemberSource {
  public:
-  struct Owner {
-    std::function<void(const ServerListChange& change, ListUpdate kind)> told;
+  struct Callbacks {
+    std::function<void(const ServerListChange& change, ListUpdate kind)> on_list;
     // The watch broke: the module says when to ask again. A source that sees to that by itself never calls
     // it.
-    std::function<void(const std::string& why)> failed;
+    std::function<void(const std::string& why)> on_failure;
   };
 
   virtual ~MemberSource() = default;
@@ -48,7 +48,7 @@
 // `known` is the list that the sidecar starts with. Throws ConfigError where the source cannot be had.
 std::unique_ptr<MemberSource> MakeSource(Loop& loop, const Platform& platform, const Config& config,
                                          const ServerListChange& known, Counters& counters, log::Log& log,
-                                         MemberSource::Owner owner);
+                                         MemberSource::Callbacks callbacks);
 
 }  // namespace umberdyke::net
 
--- a/src/reconcile/reconciler.cpp
+++ b/src/reconcile/reconciler.cpp
@@ -6,25 +6,25 @@
 namespace {
 
 // How long a name that went is remembered, so that a lagging member cannot bring it back.
-constexpr Span kRemembered = std::chrono::minutes(10);
+constexpr Span kDeletionRetention = std::chrono::minutes(10);
 
 }  // namespace
 
-std::vector<std::string> Reconciler::View(Time now, Zxid zxid, const std::vector<std::string>& names) {
+std::vector<std::string> Reconciler::OnNodeList(Time now, Zxid zxid, const std::vector<std::string>& names) {
   std::vector<std::string> wanted;
-  if (zxid < view_) {
+  if (zxid < last_list_zxid_) {
     ++counts_.stale_views;
     return wanted;
   }
-  view_ = zxid;
+  last_list_zxid_ = zxid;
   const std::set<std::string_view> listed(names.begin(), names.end());
-  std::vector<std::string> left;
+  std::vector<std::string> missing;
   for (const auto& [name, node] : nodes_) {
     // One created after this view was taken is not missing from it.
-    if (node.listed && !listed.contains(name) && node.birth <= zxid) left.push_back(name);
+    if (node.listed && !listed.contains(name) && node.created_zxid <= zxid) missing.push_back(name);
   }
-  std::sort(left.begin(), left.end());  // the same order on every machine
-  for (const std::string& name : left) Unlist(now, name);
+  std::sort(missing.begin(), missing.end());  // the same order on every machine
+  for (const std::string& name : missing) RemoveNode(now, name);
   for (const std::string& name : names) {
     Node& node = nodes_[name];
     node.listed = true;
@@ -33,267 +33,274 @@
   return wanted;
 }
 
-void Reconciler::Data(Time now, const std::string& name, const Content& content, Zxid birth, Zxid zxid) {
-  ForgetOld(now);
-  const auto buried = buried_.find(name);
-  if (buried != buried_.end() && birth <= buried->second.birth) {
+void Reconciler::OnNodeData(Time now, const std::string& name, const NodeData& content, Zxid created_zxid,
+                            Zxid modified_zxid) {
+  ExpireOldEntries(now);
+  const auto deleted = deleted_nodes_.find(name);
+  if (deleted != deleted_nodes_.end() && created_zxid <= deleted->second.created_zxid) {
     ++counts_.stale_data;  // a ghost: that life of the node is over
     if (const auto it = nodes_.find(name); it != nodes_.end() && !it->second.known) nodes_.erase(it);
     return;
   }
   const auto it = nodes_.find(name);
   const bool listed = it != nodes_.end() && it->second.listed;
-  if ((!listed && birth <= view_) || (it != nodes_.end() && it->second.known && zxid < it->second.zxid)) {
+  if ((!listed && created_zxid <= last_list_zxid_) ||
+      (it != nodes_.end() && it->second.known && modified_zxid < it->second.modified_zxid)) {
     ++counts_.stale_data;
     return;
   }
   Node& node = nodes_[name];
   const std::string before = node.known ? node.id : "";
-  const bool reborn = node.known && birth > node.birth;
-  if (!before.empty() && (before != content.id || reborn)) {
+  const bool recreated = node.known && created_zxid > node.created_zxid;
+  if (!before.empty() && (before != content.id || recreated)) {
     // The same name, another life or another server: the old one leaves it first.
     const auto server = servers_.find(before);
     if (server != servers_.end()) server->second.nodes.erase(name);
-    if (before != content.id) Work(now, before);
+    if (before != content.id) Recompute(now, before);
   }
-  node = {content.id, content, birth, zxid, true, true};
+  node = {content.id, content, created_zxid, modified_zxid, true, true};
   servers_[content.id].nodes.insert(name);
-  Work(now, content.id);
+  Recompute(now, content.id);
 }
 
-void Reconciler::Malformed(Time now, const std::string& name, Zxid birth, Zxid zxid) {
+void Reconciler::OnMalformedData(Time now, const std::string& name, Zxid created_zxid, Zxid modified_zxid) {
   ++counts_.malformed;
   const auto it = nodes_.find(name);
   if (it == nodes_.end() || !it->second.known) return;  // nothing known: it is nobody
-  if (birth <= it->second.birth) {
-    it->second.zxid = std::max(it->second.zxid, zxid);
+  if (created_zxid <= it->second.created_zxid) {
+    it->second.modified_zxid = std::max(it->second.modified_zxid, modified_zxid);
     return;  // the last that could be read holds
   }
   // Another life of the node, of which nothing can be read.
-  Unlist(now, name);
+  RemoveNode(now, name);
 }
 
-void Reconciler::Gone(Time now, const std::string& name) { Unlist(now, name); }
+void Reconciler::OnNodeDeleted(Time now, const std::string& name) { RemoveNode(now, name); }
 
-void Reconciler::Unlist(Time now, const std::string& name) {
+void Reconciler::RemoveNode(Time now, const std::string& name) {
   const auto it = nodes_.find(name);
   if (it == nodes_.end()) return;
   const Node node = it->second;
   nodes_.erase(it);
   if (!node.known) return;
-  Burial& burial = buried_[name];
-  burial = {std::max(burial.birth, node.birth), now};
-  burials_.emplace_back(now, name);
+  Deletion& deletion = deleted_nodes_[name];
+  deletion = {std::max(deletion.created_zxid, node.created_zxid), now};
+  deletions_.emplace_back(now, name);
   const auto server = servers_.find(node.id);
   if (server == servers_.end()) return;
   server->second.nodes.erase(name);
-  Work(now, node.id);
+  Recompute(now, node.id);
 }
 
 // Works out one server's standing anew from the nodes that bear its id.
-void Reconciler::Work(Time now, const std::string& id) {
+void Reconciler::Recompute(Time now, const std::string& id) {
   Server& server = servers_[id];
   const Node* youngest = nullptr;
   std::string name;
   for (const std::string& n : server.nodes) {
     const Node& node = nodes_.at(n);
-    if (youngest != nullptr && node.birth < youngest->birth) continue;
+    if (youngest != nullptr && node.created_zxid < youngest->created_zxid) continue;
     youngest = &node;
     name = n;
   }
   if (youngest == nullptr) {
-    server.settles.reset();
-    settling_.erase(id);
-    Leave(now, id, server);
+    server.settles_at.reset();
+    settling_ids_.erase(id);
+    RemoveOrHold(now, id, server);
     return;
   }
-  const Standing standing = youngest->content.draining ? Standing::kDraining : Standing::kReady;
+  const ServerState state = youngest->content.draining ? ServerState::kDraining : ServerState::kReady;
   server.held_since.reset();
-  held_.erase(id);
-  removed_.erase(id);
+  held_ids_.erase(id);
+  removed_at_.erase(id);
   server.node = name;
-  if (server.standing == Standing::kGone && standing == Standing::kReady && server.left) {
+  if (server.state == ServerState::kGone && state == ServerState::kReady && server.left_at) {
     // It comes back. Once in a while that is a restart; again and again it is a link that breaks.
-    if (!server.settles) {
-      server.returns.push_back(now);
-      while (!server.returns.empty() && now - server.returns.front() > guard_.flap_time)
-        server.returns.pop_front();
+    if (!server.settles_at) {
+      server.return_times.push_back(now);
+      while (!server.return_times.empty() && now - server.return_times.front() > limits_.flap_window)
+        server.return_times.pop_front();
     }
-    if (static_cast<int>(server.returns.size()) > guard_.flaps) {
-      if (!server.settles) ++counts_.flaps;
-      if (!server.settles) server.settles = now + guard_.settle;
-      settling_.insert(id);
-      if (now < *server.settles) return;
+    if (static_cast<int>(server.return_times.size()) > limits_.flaps) {
+      if (!server.settles_at) ++counts_.flaps;
+      if (!server.settles_at) server.settles_at = now + limits_.settle_time;
+      settling_ids_.insert(id);
+      if (now < *server.settles_at) return;
     }
   }
-  server.settles.reset();
-  settling_.erase(id);
+  server.settles_at.reset();
+  settling_ids_.erase(id);
   if (server.address != youngest->content.address) {
-    if (const auto at = at_.find(server.address); at != at_.end() && at->second == id) at_.erase(at);
+    if (const auto at = id_by_address_.find(server.address); at != id_by_address_.end() && at->second == id)
+      id_by_address_.erase(at);
     server.address = youngest->content.address;
   }
-  if (TakeAddress(id, server, youngest->birth)) {
-    Set(id, server, standing);
-  } else if (server.standing != Standing::kGone) {
-    Set(id, server, Standing::kGone);
+  if (ClaimAddress(id, server, youngest->created_zxid)) {
+    SetState(id, server, state);
+  } else if (server.state != ServerState::kGone) {
+    SetState(id, server, ServerState::kGone);
   }
 }
 
 // An address belongs to one server, the youngest that says it is there: whoever held it before is gone, even
 // one that is kept against the list. Returns whether the address is this one's.
-bool Reconciler::TakeAddress(const std::string& id, const Server& server, Zxid birth) {
+bool Reconciler::ClaimAddress(const std::string& id, const Server& server, Zxid created_zxid) {
   if (server.address.empty()) return true;
-  const auto at = at_.find(server.address);
-  if (at != at_.end() && at->second != id) {
+  const auto at = id_by_address_.find(server.address);
+  if (at != id_by_address_.end() && at->second != id) {
     const std::string holder = at->second;
     Server& old = servers_[holder];
-    if (BirthOf(old) > birth) return false;
-    held_.erase(holder);
+    if (CreationZxidOf(old) > created_zxid) return false;
+    held_ids_.erase(holder);
     old.held_since.reset();
-    if (old.standing != Standing::kGone) Set(holder, old, Standing::kGone);
+    if (old.state != ServerState::kGone) SetState(holder, old, ServerState::kGone);
   }
-  at_[server.address] = id;
+  id_by_address_[server.address] = id;
   return true;
 }
 
-Zxid Reconciler::BirthOf(const Server& server) const {
-  Zxid birth = -1;
-  for (const std::string& name : server.nodes) birth = std::max(birth, nodes_.at(name).birth);
-  return birth;
+Zxid Reconciler::CreationZxidOf(const Server& server) const {
+  Zxid created_zxid = -1;
+  for (const std::string& name : server.nodes)
+    created_zxid = std::max(created_zxid, nodes_.at(name).created_zxid);
+  return created_zxid;
 }
 
-void Reconciler::Leave(Time now, const std::string& id, Server& server) {
-  if (server.standing == Standing::kGone || server.held_since) return;
-  server.left = now;
+void Reconciler::RemoveOrHold(Time now, const std::string& id, Server& server) {
+  if (server.state == ServerState::kGone || server.held_since) return;
+  server.left_at = now;
   // What was told to drain was leaving anyway, and is never sent to again.
-  if (server.standing == Standing::kDraining) return Set(id, server, Standing::kGone);
-  while (!removals_.empty() && now - removals_.front().first > guard_.within) {
-    const auto old = removed_.find(removals_.front().second);
-    if (old != removed_.end() && old->second == removals_.front().first) removed_.erase(old);
-    removals_.pop_front();
+  if (server.state == ServerState::kDraining) return SetState(id, server, ServerState::kGone);
+  while (!recent_removals_.empty() && now - recent_removals_.front().first > limits_.mass_removal_window) {
+    const auto old = removed_at_.find(recent_removals_.front().second);
+    if (old != removed_at_.end() && old->second == recent_removals_.front().first) removed_at_.erase(old);
+    recent_removals_.pop_front();
   }
   // Those kept against the list count once: among those that went.
-  const size_t before = live_ - held_.size() + removed_.size();
-  removals_.emplace_back(now, id);
-  removed_[id] = now;
-  const auto went = static_cast<double>(removed_.size());
-  const bool mass = went > guard_.share * static_cast<double>(before) &&
-                    removed_.size() > static_cast<size_t>(guard_.at_least);
-  const bool last = live_ == 1 + held_.size();  // the list may not be emptied, however small it is
-  if (!mass && !last) return Set(id, server, Standing::kGone);
+  const size_t before = live_count_ - held_ids_.size() + removed_at_.size();
+  recent_removals_.emplace_back(now, id);
+  removed_at_[id] = now;
+  const auto removed_count = static_cast<double>(removed_at_.size());
+  const bool is_mass_removal = removed_count > limits_.mass_removal_share * static_cast<double>(before) &&
+                               removed_at_.size() > static_cast<size_t>(limits_.mass_removal_count);
+  const bool last = live_count_ == 1 + held_ids_.size();  // the list may not be emptied, however small it is
+  if (!is_mass_removal && !last) return SetState(id, server, ServerState::kGone);
   // Those that went just before were the beginning of the same removal.
-  if (mass && !mass_) {
+  if (is_mass_removal && !mass_removal_active_) {
     ++counts_.mass_removals;
-    mass_ = true;
-    for (const auto& [time, other] : removals_) {
-      if (other != id && removed_.contains(other)) Hold(now, other, servers_[other]);
+    mass_removal_active_ = true;
+    for (const auto& [time, other] : recent_removals_) {
+      if (other != id && removed_at_.contains(other)) Hold(now, other, servers_[other]);
     }
   }
   Hold(now, id, server);
-  server.held_as_last = !mass;
+  server.held_as_last_server = !is_mass_removal;
 }
 
 void Reconciler::Hold(Time now, const std::string& id, Server& server) {
   if (server.held_since || !server.nodes.empty()) return;
-  if (const auto at = at_.find(server.address); at != at_.end() && at->second != id) return;  // replaced
+  if (const auto at = id_by_address_.find(server.address); at != id_by_address_.end() && at->second != id)
+    return;  // replaced
   server.held_since = now;
-  held_.insert(id);
+  held_ids_.insert(id);
   ++counts_.held;
-  if (!server.address.empty()) at_[server.address] = id;
-  Set(id, server, Standing::kReady);
+  if (!server.address.empty()) id_by_address_[server.address] = id;
+  SetState(id, server, ServerState::kReady);
 }
 
-void Reconciler::Heard(Time now, const std::string& id, bool ok) {
+void Reconciler::OnConnectionResult(Time now, const std::string& id, bool ok) {
   const auto it = servers_.find(id);
   if (ok || it == servers_.end() || !it->second.held_since) return;
   // Its own connections fail: the list was right about this one.
   it->second.held_since.reset();
-  held_.erase(id);
-  it->second.left = now;
+  held_ids_.erase(id);
+  it->second.left_at = now;
   ++counts_.hold_ended;
-  Set(id, it->second, Standing::kGone);
-  if (held_.empty()) mass_ = false;
+  SetState(id, it->second, ServerState::kGone);
+  if (held_ids_.empty()) mass_removal_active_ = false;
 }
 
 void Reconciler::Tick(Time now) {
-  ForgetOld(now);
-  const std::set<std::string> settling = settling_;
+  ExpireOldEntries(now);
+  const std::set<std::string> settling = settling_ids_;
   for (const std::string& id : settling) {
     Server& server = servers_[id];
-    if (server.settles && now >= *server.settles) Work(now, id);
+    if (server.settles_at && now >= *server.settles_at) Recompute(now, id);
   }
   // A removal that stands for so long is believed, as long as somebody else is left.
-  const std::set<std::string> held = held_;
-  const bool others = live_ > held_.size();
+  const std::set<std::string> held = held_ids_;
+  const bool others = live_count_ > held_ids_.size();
   for (const std::string& id : held) {
     Server& server = servers_[id];
     if (!others || !server.held_since) continue;
     // One kept only so that somebody is left goes as soon as somebody is.
-    if (!server.held_as_last && now - *server.held_since < guard_.hold_most) continue;
+    if (!server.held_as_last_server && now - *server.held_since < limits_.max_hold) continue;
     server.held_since.reset();
-    held_.erase(id);
+    held_ids_.erase(id);
     ++counts_.hold_ended;
-    Set(id, server, Standing::kGone);
+    SetState(id, server, ServerState::kGone);
   }
-  if (held_.empty()) mass_ = false;
+  if (held_ids_.empty()) mass_removal_active_ = false;
 }
 
-void Reconciler::Set(const std::string& id, Server& server, Standing standing) {
-  const bool was = server.standing != Standing::kGone, is = standing != Standing::kGone;
-  if (was && !is) --live_;
-  if (!was && is) ++live_;
+void Reconciler::SetState(const std::string& id, Server& server, ServerState state) {
+  const bool was = server.state != ServerState::kGone, is = state != ServerState::kGone;
+  if (was && !is) --live_count_;
+  if (!was && is) ++live_count_;
   if (!is) {
-    if (const auto at = at_.find(server.address); at != at_.end() && at->second == id) at_.erase(at);
+    if (const auto at = id_by_address_.find(server.address); at != id_by_address_.end() && at->second == id)
+      id_by_address_.erase(at);
   }
-  if (!is && !was && !pending_.contains(id)) return;
-  server.standing = standing;
-  const auto [it, is_new] = pending_.insert_or_assign(id, Told{id, standing, server.node});
-  if (is_new) order_.push_back(id);
+  if (!is && !was && !pending_changes_.contains(id)) return;
+  server.state = state;
+  const auto [it, is_new] = pending_changes_.insert_or_assign(id, StateChange{id, state, server.node});
+  if (is_new) change_order_.push_back(id);
 }
 
-std::vector<Told> Reconciler::Take() {
+std::vector<StateChange> Reconciler::TakeChanges() {
   // Those that leave first: whoever takes their place or address comes after.
-  std::vector<Told> told;
+  std::vector<StateChange> changes;
   for (const bool leaving : {true, false}) {
-    for (const std::string& id : order_) {
-      const Told& one = pending_.at(id);
-      if ((one.standing == Standing::kGone) == leaving) told.push_back(one);
+    for (const std::string& id : change_order_) {
+      const StateChange& one = pending_changes_.at(id);
+      if ((one.state == ServerState::kGone) == leaving) changes.push_back(one);
     }
   }
-  order_.clear();
-  pending_.clear();
-  return told;
+  change_order_.clear();
+  pending_changes_.clear();
+  return changes;
 }
 
-std::optional<Time> Reconciler::Due() const {
+std::optional<Time> Reconciler::NextDeadline() const {
   std::optional<Time> due;
   const auto sooner = [&](Time time) {
     if (!due || time < *due) due = time;
   };
-  for (const std::string& id : settling_) {
-    if (const auto& settles = servers_.at(id).settles) sooner(*settles);
+  for (const std::string& id : settling_ids_) {
+    if (const auto& settles_at = servers_.at(id).settles_at) sooner(*settles_at);
   }
-  if (live_ > held_.size()) {
-    for (const std::string& id : held_) sooner(*servers_.at(id).held_since + guard_.hold_most);
+  if (live_count_ > held_ids_.size()) {
+    for (const std::string& id : held_ids_) sooner(*servers_.at(id).held_since + limits_.max_hold);
   }
   return due;
 }
 
-size_t Reconciler::size() const { return live_; }
+size_t Reconciler::size() const { return live_count_; }
 
 // Guards the memory against names that are new each time: sequential nodes never come back.
-void Reconciler::ForgetOld(Time now) {
-  while (!burials_.empty() && now - burials_.front().first > kRemembered) {
-    const auto& [time, name] = burials_.front();
+void Reconciler::ExpireOldEntries(Time now) {
+  while (!deletions_.empty() && now - deletions_.front().first > kDeletionRetention) {
+    const auto& [time, name] = deletions_.front();
     // One that went again since is remembered from then on.
-    if (const auto it = buried_.find(name); it != buried_.end() && it->second.time == time) buried_.erase(it);
-    burials_.pop_front();
+    if (const auto it = deleted_nodes_.find(name); it != deleted_nodes_.end() && it->second.time == time)
+      deleted_nodes_.erase(it);
+    deletions_.pop_front();
   }
-  if (servers_.size() < 64 || servers_.size() < 2 * live_) return;
+  if (servers_.size() < 64 || servers_.size() < 2 * live_count_) return;
   std::erase_if(servers_, [&](const auto& item) {
     const Server& server = item.second;
-    return server.standing == Standing::kGone && server.nodes.empty() && server.left &&
-           now - *server.left > kRemembered && !pending_.contains(item.first);
+    return server.state == ServerState::kGone && server.nodes.empty() && server.left_at &&
+           now - *server.left_at > kDeletionRetention && !pending_changes_.contains(item.first);
   });
 }
 
--- a/src/reconcile/reconciler.h
+++ b/src/reconcile/reconciler.h
@@ -23,35 +23,35 @@
 using Span = std::chrono::steady_clock::duration;
 using Zxid = std::int64_t;  // the service's transaction numbers: later is larger
 
-struct Guard {
+struct Limits {
   // A removal is a mass removal once more than this share of the list, and more than this many, went within
   // this time. From then on what was removed within it is kept until its own connections fail.
-  double share = 0.3;
-  int at_least = 2;
-  Span within = std::chrono::seconds(5);
-  Span hold_most = std::chrono::seconds(60);  // then a removal is believed, unless nobody would be left
+  double mass_removal_share = 0.3;
+  int mass_removal_count = 2;
+  Span mass_removal_window = std::chrono::seconds(5);
+  Span max_hold = std::chrono::seconds(60);  // then a removal is believed, unless nobody would be left
   // A node that left and came back more than this often within this time comes back only once it has stayed.
   int flaps = 3;
-  Span flap_time = std::chrono::seconds(30);
-  Span settle = std::chrono::seconds(3);
+  Span flap_window = std::chrono::seconds(30);
+  Span settle_time = std::chrono::seconds(3);
 };
 
 // What a node's data said of it. `id` tells servers apart: a server that comes back under another node's name
 // with the same id is the same one.
-struct Content {
+struct NodeData {
   std::string id;
   std::string address;
   bool draining = false;
 };
 
-enum class Standing { kReady, kDraining, kGone };
+enum class ServerState { kReady, kDraining, kGone };
 
 // What the module is to be told of one server, in this order.
-struct Told {
+struct StateChange {
   std::string id;
-  Standing standing;
+  ServerState state;
   std::string node;  // whose data holds; the last one where it is gone
-  friend bool operator==(const Told&, const Told&) = default;
+  friend bool operator==(const StateChange&, const StateChange&) = default;
 };
 
 struct Counts {
@@ -66,38 +66,39 @@
 
 class Reconciler {
  public:
-  explicit Reconciler(const Guard& guard) : guard_(guard) {}
+  explicit Reconciler(const Limits& limits) : limits_(limits) {}
 
   // The whole list of names, as of a transaction. Returns the names whose data is needed; empty for a stale
   // one.
-  std::vector<std::string> View(Time now, Zxid zxid, const std::vector<std::string>& names);
+  std::vector<std::string> OnNodeList(Time now, Zxid zxid, const std::vector<std::string>& names);
   // A node's data; `birth` is the transaction that created it, `zxid` the one that last changed it.
-  void Data(Time now, const std::string& name, const Content& content, Zxid birth, Zxid zxid);
-  void Malformed(Time now, const std::string& name, Zxid birth, Zxid zxid);
+  void OnNodeData(Time now, const std::string& name, const NodeData& content, Zxid created_zxid,
+                  Zxid modified_zxid);
+  void OnMalformedData(Time now, const std::string& name, Zxid created_zxid, Zxid modified_zxid);
   // The service said that the node has gone.
-  void Gone(Time now, const std::string& name);
+  void OnNodeDeleted(Time now, const std::string& name);
   // The sidecar's own connection to a server: whether it came up.
-  void Heard(Time now, const std::string& id, bool ok);
+  void OnConnectionResult(Time now, const std::string& id, bool ok);
   // What is due by now.
   void Tick(Time now);
 
   // What has changed since the last call, each server once.
-  std::vector<Told> Take();
+  std::vector<StateChange> TakeChanges();
   // When Tick has something to do next.
-  std::optional<Time> Due() const;
+  std::optional<Time> NextDeadline() const;
 
-  bool changed() const { return !order_.empty(); }
-  bool holding() const { return !held_.empty(); }
-  bool Lists(const std::string& name) const { return nodes_.contains(name); }
+  bool has_changes() const { return !change_order_.empty(); }
+  bool holding() const { return !held_ids_.empty(); }
+  bool HasNode(const std::string& name) const { return nodes_.contains(name); }
   size_t size() const;  // servers that are told as ready or draining
-  Zxid seen() const { return view_; }
+  Zxid last_list_zxid() const { return last_list_zxid_; }
   const Counts& counts() const { return counts_; }
 
  private:
   struct Node {
     std::string id;
-    Content content;
-    Zxid birth = 0, zxid = 0;
+    NodeData content;
+    Zxid created_zxid = 0, modified_zxid = 0;
     bool listed = false;  // in the view, or created after it
     bool known = false;   // its data has been read
   };
@@ -105,43 +106,43 @@
     std::set<std::string> nodes;  // that are listed and bear its id
     std::string node;             // the one that holds: the youngest
     std::string address;
-    Standing standing = Standing::kGone;
+    ServerState state = ServerState::kGone;
     bool counted = false;  // told at least once
     std::optional<Time> held_since;
-    bool held_as_last = false;    // for no other reason than that nobody else was left
-    std::optional<Time> settles;  // comes back then
-    std::deque<Time> returns;
-    std::optional<Time> left;
+    bool held_as_last_server = false;  // for no other reason than that nobody else was left
+    std::optional<Time> settles_at;    // comes back then
+    std::deque<Time> return_times;
+    std::optional<Time> left_at;
   };
 
-  void Unlist(Time now, const std::string& name);
-  void Work(Time now, const std::string& id);
-  void Leave(Time now, const std::string& id, Server& server);
+  void RemoveNode(Time now, const std::string& name);
+  void Recompute(Time now, const std::string& id);
+  void RemoveOrHold(Time now, const std::string& id, Server& server);
   void Hold(Time now, const std::string& id, Server& server);
-  void Set(const std::string& id, Server& server, Standing standing);
-  bool TakeAddress(const std::string& id, const Server& server, Zxid birth);
-  Zxid BirthOf(const Server& server) const;
-  void ForgetOld(Time now);
+  void SetState(const std::string& id, Server& server, ServerState state);
+  bool ClaimAddress(const std::string& id, const Server& server, Zxid created_zxid);
+  Zxid CreationZxidOf(const Server& server) const;
+  void ExpireOldEntries(Time now);
 
-  const Guard guard_;
-  Zxid view_ = 0;
+  const Limits limits_;
+  Zxid last_list_zxid_ = 0;
   std::unordered_map<std::string, Node> nodes_;
   std::unordered_map<std::string, Server> servers_;
-  std::unordered_map<std::string, std::string> at_;  // address to the id that is told there
-  struct Burial {
-    Zxid birth = 0;
+  std::unordered_map<std::string, std::string> id_by_address_;  // address to the id that is told there
+  struct Deletion {
+    Zxid created_zxid = 0;
     Time time{};
   };
-  std::unordered_map<std::string, Burial> buried_;  // names that went, lest they come back as ghosts
-  std::deque<std::pair<Time, std::string>> burials_;
-  std::deque<std::pair<Time, std::string>> removals_;  // in their order, within the guard's time
-  std::unordered_map<std::string, Time> removed_;      // of these, whoever has not come back since
-  size_t live_ = 0;                                    // told as ready or draining
-  std::set<std::string> held_;
-  std::set<std::string> settling_;
-  bool mass_ = false;
-  std::vector<std::string> order_;  // ids to tell, in the order of their first change
-  std::unordered_map<std::string, Told> pending_;
+  std::unordered_map<std::string, Deletion> deleted_nodes_;  // names that went, lest they come back as ghosts
+  std::deque<std::pair<Time, std::string>> deletions_;
+  std::deque<std::pair<Time, std::string>> recent_removals_;  // in their order, within the guard's time
+  std::unordered_map<std::string, Time> removed_at_;          // of these, whoever has not come back since
+  size_t live_count_ = 0;                                     // told as ready or draining
+  std::set<std::string> held_ids_;
+  std::set<std::string> settling_ids_;
+  bool mass_removal_active_ = false;
+  std::vector<std::string> change_order_;  // ids to tell, in the order of their first change
+  std::unordered_map<std::string, StateChange> pending_changes_;
   Counts counts_;
 };
 
--- a/tests/membership/reconcile_test.cpp
+++ b/tests/membership/reconcile_test.cpp
@@ -1,4 +1,4 @@
-// The reconciler against histories of a service, told in every order that reconnects and lagging members
+// The reconciler against histories of a service, changes in every order that reconnects and lagging members
 // allow.
 #include <algorithm>
 #include <catch2/catch.hpp>
@@ -15,32 +15,32 @@
 
 const Time kStart = Time() + 1h;
 
-Content At(const std::string& id, const std::string& address, bool draining = false) {
+NodeData At(const std::string& id, const std::string& address, bool draining = false) {
   return {id, address, draining};
 }
 
-// What the module knows after all that it was told.
-struct Module {
-  std::map<std::string, Standing> known;
-  void Hear(Reconciler& reconciler) {
-    for (const Told& told : reconciler.Take()) known[told.id] = told.standing;
+// What the consumer knows after all that it was changes.
+struct Consumer {
+  std::map<std::string, ServerState> states;
+  void TakeFrom(Reconciler& reconciler) {
+    for (const StateChange& change : reconciler.TakeChanges()) states[change.id] = change.state;
   }
   std::set<std::string> Ready() const {
     std::set<std::string> ready;
-    for (const auto& [id, standing] : known) {
-      if (standing == Standing::kReady) ready.insert(id);
+    for (const auto& [id, state] : states) {
+      if (state == ServerState::kReady) ready.insert(id);
     }
     return ready;
   }
 };
 
 // A guard that never holds and no flaps, for tests of the order of events.
-Guard Open() {
-  Guard guard;
-  guard.share = 1;
-  guard.at_least = 1 << 20;
-  guard.flaps = 1 << 20;
-  return guard;
+Limits WithoutLimits() {
+  Limits limits;
+  limits.mass_removal_share = 1;
+  limits.mass_removal_count = 1 << 20;
+  limits.flaps = 1 << 20;
+  return limits;
 }
 
 std::vector<std::string> Names(int first, int count) {
@@ -49,169 +49,172 @@
   return names;
 }
 
-// A list of so many servers, all told.
-void Fill(Reconciler& r, Module& module, int count, Time now = kStart) {
-  for (const std::string& name : r.View(now, count, Names(0, count))) {
+// A list of so many servers, all changes.
+void Fill(Reconciler& r, Consumer& consumer, int count, Time now = kStart) {
+  for (const std::string& name : r.OnNodeList(now, count, Names(0, count))) {
     const int i = std::stoi(name.substr(1));
-    r.Data(now, name, At("s" + std::to_string(i), "a" + std::to_string(i)), i + 1, i + 1);
+    r.OnNodeData(now, name, At("s" + std::to_string(i), "a" + std::to_string(i)), i + 1, i + 1);
   }
-  module.Hear(r);
-  REQUIRE(module.Ready().size() == static_cast<size_t>(count));
+  consumer.TakeFrom(r);
+  REQUIRE(consumer.Ready().size() == static_cast<size_t>(count));
 }
 
 TEST_CASE("views and data older than what was seen change nothing", "[reconcile]") {
-  Reconciler r(Open());
-  Module module;
-  Fill(r, module, 5);
-  r.Gone(kStart, "n2");
-  module.Hear(r);
-  CHECK(module.known["s2"] == Standing::kGone);
+  Reconciler r(WithoutLimits());
+  Consumer consumer;
+  Fill(r, consumer, 5);
+  r.OnNodeDeleted(kStart, "n2");
+  consumer.TakeFrom(r);
+  CHECK(consumer.states["s2"] == ServerState::kGone);
   // A lagging member still lists it, and has its old data.
-  CHECK(r.View(kStart, 4, Names(0, 5)).empty());
+  CHECK(r.OnNodeList(kStart, 4, Names(0, 5)).empty());
   CHECK(r.counts().stale_views == 1);
-  r.Data(kStart, "n2", At("s2", "a2"), 3, 3);
+  r.OnNodeData(kStart, "n2", At("s2", "a2"), 3, 3);
   CHECK(r.counts().stale_data == 1);
-  for (const std::string& name : r.View(kStart, 5, Names(0, 5))) r.Data(kStart, name, At("s2", "a2"), 3, 3);
-  module.Hear(r);
-  CHECK(module.known["s2"] == Standing::kGone);
+  for (const std::string& name : r.OnNodeList(kStart, 5, Names(0, 5)))
+    r.OnNodeData(kStart, name, At("s2", "a2"), 3, 3);
+  consumer.TakeFrom(r);
+  CHECK(consumer.states["s2"] == ServerState::kGone);
   // Older data of a node that is there: a drain is not taken back by it.
-  r.Data(kStart, "n1", At("s1", "a1", true), 2, 9);
-  r.Data(kStart, "n1", At("s1", "a1", false), 2, 2);
-  module.Hear(r);
-  CHECK(module.known["s1"] == Standing::kDraining);
+  r.OnNodeData(kStart, "n1", At("s1", "a1", true), 2, 9);
+  r.OnNodeData(kStart, "n1", At("s1", "a1", false), 2, 2);
+  consumer.TakeFrom(r);
+  CHECK(consumer.states["s1"] == ServerState::kDraining);
   // A new life under the old name counts at once.
-  for (const std::string& name : r.View(kStart, 12, Names(0, 5)))
-    r.Data(kStart, name, At("s2", "a2"), 12, 12);
-  module.Hear(r);
-  CHECK(module.known["s2"] == Standing::kReady);
+  for (const std::string& name : r.OnNodeList(kStart, 12, Names(0, 5)))
+    r.OnNodeData(kStart, name, At("s2", "a2"), 12, 12);
+  consumer.TakeFrom(r);
+  CHECK(consumer.states["s2"] == ServerState::kReady);
 }
 
 TEST_CASE("a server under two nodes leaves with the younger only when both are gone", "[reconcile]") {
-  Reconciler r(Open());
-  Module module;
-  Fill(r, module, 3);
+  Reconciler r(WithoutLimits());
+  Consumer consumer;
+  Fill(r, consumer, 3);
   // Its session has broken, and it has registered anew before the old node vanished.
-  for (const std::string& n : r.View(kStart, 10, {"n0", "n1", "n2", "n9"}))
-    r.Data(kStart, n, At("s1", "a1"), 10, 10);
-  r.Gone(kStart, "n1");
-  module.Hear(r);
-  CHECK(module.known["s1"] == Standing::kReady);
-  r.Gone(kStart, "n9");
-  module.Hear(r);
-  CHECK(module.known["s1"] == Standing::kGone);
+  for (const std::string& n : r.OnNodeList(kStart, 10, {"n0", "n1", "n2", "n9"}))
+    r.OnNodeData(kStart, n, At("s1", "a1"), 10, 10);
+  r.OnNodeDeleted(kStart, "n1");
+  consumer.TakeFrom(r);
+  CHECK(consumer.states["s1"] == ServerState::kReady);
+  r.OnNodeDeleted(kStart, "n9");
+  consumer.TakeFrom(r);
+  CHECK(consumer.states["s1"] == ServerState::kGone);
 }
 
 TEST_CASE("a new id at an old address puts the old one out first", "[reconcile]") {
-  Reconciler r(Open());
-  Module module;
-  Fill(r, module, 3);
-  r.View(kStart, 10, {"n0", "n1", "n2", "x"});
-  r.Data(kStart, "x", At("new", "a1"), 10, 10);
-  const std::vector<Told> told = r.Take();
-  REQUIRE(told.size() == 2);
-  CHECK(told[0] == Told{"s1", Standing::kGone, "n1"});
-  CHECK(told[1] == Told{"new", Standing::kReady, "x"});
+  Reconciler r(WithoutLimits());
+  Consumer consumer;
+  Fill(r, consumer, 3);
+  r.OnNodeList(kStart, 10, {"n0", "n1", "n2", "x"});
+  r.OnNodeData(kStart, "x", At("new", "a1"), 10, 10);
+  const std::vector<StateChange> changes = r.TakeChanges();
+  REQUIRE(changes.size() == 2);
+  CHECK(changes[0] == StateChange{"s1", ServerState::kGone, "n1"});
+  CHECK(changes[1] == StateChange{"new", ServerState::kReady, "x"});
   // The old one's node still stands and says the same again: the youngest holds the address.
-  r.Data(kStart, "n1", At("s1", "a1"), 2, 20);
-  CHECK(r.Take().empty());
+  r.OnNodeData(kStart, "n1", At("s1", "a1"), 2, 20);
+  CHECK(r.TakeChanges().empty());
 }
 
 TEST_CASE("a mass removal is held while connections come up, and drained ones never", "[reconcile]") {
-  Guard guard;
-  Reconciler r(guard);
-  Module module;
-  Fill(r, module, 10);
-  r.Data(kStart, "n9", At("s9", "a9", true), 10, 20);
-  module.Hear(r);
+  Limits limits;
+  Reconciler r(limits);
+  Consumer consumer;
+  Fill(r, consumer, 10);
+  r.OnNodeData(kStart, "n9", At("s9", "a9", true), 10, 20);
+  consumer.TakeFrom(r);
   // Three of ten may go; with the fourth it is a mass removal, and the first three are back.
-  r.View(kStart + 1s, 30, {"n0", "n1", "n2", "n3"});
-  module.Hear(r);
+  r.OnNodeList(kStart + 1s, 30, {"n0", "n1", "n2", "n3"});
+  consumer.TakeFrom(r);
   CHECK(r.holding());
-  CHECK(module.Ready().size() == 9);
-  CHECK(module.known["s9"] == Standing::kGone);
+  CHECK(consumer.Ready().size() == 9);
+  CHECK(consumer.states["s9"] == ServerState::kGone);
   CHECK(r.counts().mass_removals == 1);
   // One whose connections fail is gone for good.
-  r.Heard(kStart + 2s, "s5", true);
-  r.Heard(kStart + 2s, "s6", false);
-  module.Hear(r);
-  CHECK(module.known["s5"] == Standing::kReady);
-  CHECK(module.known["s6"] == Standing::kGone);
+  r.OnConnectionResult(kStart + 2s, "s5", true);
+  r.OnConnectionResult(kStart + 2s, "s6", false);
+  consumer.TakeFrom(r);
+  CHECK(consumer.states["s5"] == ServerState::kReady);
+  CHECK(consumer.states["s6"] == ServerState::kGone);
   // One that comes back is like any other; the rest is believed gone after the longest hold.
-  for (const std::string& n : r.View(kStart + 3s, 40, {"n0", "n1", "n2", "n3", "n4"})) {
-    r.Data(kStart + 3s, n, At("s4", "a4"), 40, 40);
+  for (const std::string& n : r.OnNodeList(kStart + 3s, 40, {"n0", "n1", "n2", "n3", "n4"})) {
+    r.OnNodeData(kStart + 3s, n, At("s4", "a4"), 40, 40);
   }
-  REQUIRE(r.Due());
-  CHECK(*r.Due() == kStart + 1s + guard.hold_most);
-  r.Tick(kStart + 1s + guard.hold_most);
-  module.Hear(r);
-  CHECK(module.Ready() == std::set<std::string>{"s0", "s1", "s2", "s3", "s4"});
+  REQUIRE(r.NextDeadline());
+  CHECK(*r.NextDeadline() == kStart + 1s + limits.max_hold);
+  r.Tick(kStart + 1s + limits.max_hold);
+  consumer.TakeFrom(r);
+  CHECK(consumer.Ready() == std::set<std::string>{"s0", "s1", "s2", "s3", "s4"});
   CHECK_FALSE(r.holding());
 }
 
 TEST_CASE("the list is never emptied, however long everybody is missing", "[reconcile]") {
   for (const int count : {1, 2, 7, 500}) {
     INFO(count);
-    Reconciler r(Guard{});
-    Module module;
-    Fill(r, module, count);
+    Reconciler r(Limits{});
+    Consumer consumer;
+    Fill(r, consumer, count);
     for (int i = 0; i < count; ++i)
-      r.Gone(kStart + 10s * i, "n" + std::to_string(i));  // one by one, unhurried
-    r.View(kStart + 10s * count, 10'000, {});
+      r.OnNodeDeleted(kStart + 10s * i, "n" + std::to_string(i));  // one by one, unhurried
+    r.OnNodeList(kStart + 10s * count, 10'000, {});
     r.Tick(kStart + 10s * count + 24h);
-    module.Hear(r);
-    CHECK_FALSE(module.Ready().empty());
-    for (const std::string& id : module.Ready()) r.Heard(kStart + 10s * count + 25h, id, false);
-    module.Hear(r);
-    CHECK(module.Ready().empty());  // only its own connections say so
+    consumer.TakeFrom(r);
+    CHECK_FALSE(consumer.Ready().empty());
+    for (const std::string& id : consumer.Ready())
+      r.OnConnectionResult(kStart + 10s * count + 25h, id, false);
+    consumer.TakeFrom(r);
+    CHECK(consumer.Ready().empty());  // only its own connections say so
   }
 }
 
 TEST_CASE("a node that flaps comes back only once it has stayed", "[reconcile]") {
-  Guard guard;
-  Reconciler r(guard);
-  Module module;
-  Fill(r, module, 10);
+  Limits limits;
+  Reconciler r(limits);
+  Consumer consumer;
+  Fill(r, consumer, 10);
   Zxid zxid = 100;
   Time now = kStart;
-  for (int i = 0; i < guard.flaps; ++i) {
-    r.Gone(now, "n3");
-    module.Hear(r);
-    CHECK(module.known["s3"] == Standing::kGone);
+  for (int i = 0; i < limits.flaps; ++i) {
+    r.OnNodeDeleted(now, "n3");
+    consumer.TakeFrom(r);
+    CHECK(consumer.states["s3"] == ServerState::kGone);
     ++zxid;
-    for (const std::string& n : r.View(now += 1s, zxid, Names(0, 10)))
-      r.Data(now, n, At("s3", "a3"), zxid, zxid);
-    module.Hear(r);
-    CHECK(module.known["s3"] == Standing::kReady);
+    for (const std::string& n : r.OnNodeList(now += 1s, zxid, Names(0, 10)))
+      r.OnNodeData(now, n, At("s3", "a3"), zxid, zxid);
+    consumer.TakeFrom(r);
+    CHECK(consumer.states["s3"] == ServerState::kReady);
   }
-  r.Gone(now, "n3");
+  r.OnNodeDeleted(now, "n3");
   ++zxid;
-  for (const std::string& n : r.View(now, zxid, Names(0, 10))) r.Data(now, n, At("s3", "a3"), zxid, zxid);
-  module.Hear(r);
-  CHECK(module.known["s3"] == Standing::kGone);
-  REQUIRE(r.Due() == now + guard.settle);
-  r.Tick(now + guard.settle - 1ms);
-  CHECK_FALSE(r.changed());
-  r.Tick(now + guard.settle);
-  module.Hear(r);
-  CHECK(module.known["s3"] == Standing::kReady);
+  for (const std::string& n : r.OnNodeList(now, zxid, Names(0, 10)))
+    r.OnNodeData(now, n, At("s3", "a3"), zxid, zxid);
+  consumer.TakeFrom(r);
+  CHECK(consumer.states["s3"] == ServerState::kGone);
+  REQUIRE(r.NextDeadline() == now + limits.settle_time);
+  r.Tick(now + limits.settle_time - 1ms);
+  CHECK_FALSE(r.has_changes());
+  r.Tick(now + limits.settle_time);
+  consumer.TakeFrom(r);
+  CHECK(consumer.states["s3"] == ServerState::kReady);
 }
 
 TEST_CASE("2,000 nodes that vanish at once and return are never missed", "[reconcile]") {
-  Reconciler r(Guard{});
-  Module module;
-  Fill(r, module, 2000);
+  Reconciler r(Limits{});
+  Consumer consumer;
+  Fill(r, consumer, 2000);
   for (int i = 0; i < 2000; ++i) {
-    r.Gone(kStart + 1ms * (i / 100), "n" + std::to_string(i));
-    if (i % 50 == 0) module.Hear(r);
+    r.OnNodeDeleted(kStart + 1ms * (i / 100), "n" + std::to_string(i));
+    if (i % 50 == 0) consumer.TakeFrom(r);
   }
-  module.Hear(r);
-  CHECK(module.Ready().size() == 2000);
-  for (const std::string& n : r.View(kStart + 1s, 5000, Names(0, 2000))) {
+  consumer.TakeFrom(r);
+  CHECK(consumer.Ready().size() == 2000);
+  for (const std::string& n : r.OnNodeList(kStart + 1s, 5000, Names(0, 2000))) {
     const std::string number = n.substr(1);
-    r.Data(kStart + 1s, n, At("s" + number, "a" + number), 5000, 5000);
+    r.OnNodeData(kStart + 1s, n, At("s" + number, "a" + number), 5000, 5000);
   }
-  module.Hear(r);
-  CHECK(module.Ready().size() == 2000);
+  consumer.TakeFrom(r);
+  CHECK(consumer.Ready().size() == 2000);
   CHECK_FALSE(r.holding());
 }
 
@@ -254,24 +257,24 @@
     const auto below = [&](unsigned n) { return random() % n; };
     const History history(random);
     const Zxid last = static_cast<Zxid>(history.states.size()) - 1;
-    Reconciler r(Open());
-    Module module;
+    Reconciler r(WithoutLimits());
+    Consumer consumer;
     Time now = kStart;
     // Reads of views and of data at random transactions: forwards on the whole, now and then from a lagging
     // member.
     const auto data = [&](const std::string& name, Zxid z) {
       const auto it = history.states[static_cast<size_t>(z)].find(name);
       if (it == history.states[static_cast<size_t>(z)].end()) {
-        if (z >= r.seen()) r.Gone(now, name);
+        if (z >= r.last_list_zxid()) r.OnNodeDeleted(now, name);
         return;
       }
       const auto& n = it->second;
-      r.Data(now, name, At(n.id, n.address, n.draining), n.birth, n.zxid);
+      r.OnNodeData(now, name, At(n.id, n.address, n.draining), n.birth, n.zxid);
     };
     const auto view = [&](Zxid z) {
       std::vector<std::string> names;
       for (const auto& [name, node] : history.states[static_cast<size_t>(z)]) names.push_back(name);
-      std::vector<std::string> wanted = r.View(now, z, names);
+      std::vector<std::string> wanted = r.OnNodeList(now, z, names);
       std::shuffle(wanted.begin(), wanted.end(), random);
       for (const std::string& name : wanted) {
         const Zxid read = std::min<Zxid>(last, z + static_cast<Zxid>(below(4)));
@@ -295,24 +298,25 @@
         default: {
           // A notice of a deletion, in its order.
           const std::string name = "n" + std::to_string(below(8));
-          if (!history.states[static_cast<size_t>(at)].contains(name) && at >= r.seen()) r.Gone(now, name);
+          if (!history.states[static_cast<size_t>(at)].contains(name) && at >= r.last_list_zxid())
+            r.OnNodeDeleted(now, name);
         }
       }
-      module.Hear(r);
+      consumer.TakeFrom(r);
     }
     view(last);
     for (int i = 0; i < 8; ++i) data("n" + std::to_string(i), last);
     r.Tick(now);
-    module.Hear(r);
+    consumer.TakeFrom(r);
     std::set<std::string> ready, draining;
     for (const auto& [name, node] : history.states.back()) (node.draining ? draining : ready).insert(node.id);
     // A list that the service empties keeps its last server until its connections fail.
     if (ready.empty() && draining.empty()) {
-      REQUIRE(module.Ready().size() <= 1);
+      REQUIRE(consumer.Ready().size() <= 1);
       continue;
     }
-    REQUIRE(module.Ready() == ready);
-    for (const std::string& id : draining) REQUIRE(module.known[id] == Standing::kDraining);
+    REQUIRE(consumer.Ready() == ready);
+    for (const std::string& id : draining) REQUIRE(consumer.states[id] == ServerState::kDraining);
     REQUIRE(r.size() == ready.size() + draining.size());
   }
 }
