--- a/src/server/real_server.cpp
+++ b/src/server/real_server.cpp
@@ -10,14 +10,16 @@
 
 namespace {
 
-constexpr Span kResponseStallTimeout =
-    250ms;  // within an response that is held whole: what goes on longer is spoilt
-constexpr Span kResponseHoldTime =
-    100ms;                          // for the end of an response of unknown length, before it is passed on
-constexpr Span kSettleTime = 25ms;  // a second response comes within this of the first
-constexpr Span kExcessDataWindow =
-    60s;  // servers that sent more than their answers are expected to for so long
-constexpr Span kStreamStallTimeout = 10s;  // of a long body, in either direction
+// A buffered response with a longer gap between its parts is malformed.
+constexpr Span kResponseStallTimeout = 250ms;
+// How long a response of unknown length is buffered, waiting for its end, before it is streamed.
+constexpr Span kResponseHoldTime = 100ms;
+// A second response on a connection arrives within this time of the first.
+constexpr Span kSettleTime = 25ms;
+// How long servers that sent excess data are expected to do so again.
+constexpr Span kExcessDataWindow = 60s;
+// Limit without progress for a streaming body, in either direction.
+constexpr Span kStreamStallTimeout = 10s;
 
 }  // namespace
 
@@ -41,8 +43,8 @@
   const Address address;
   Stream stream;
   HttpParser parser;
-  Exchange* exchange = nullptr;  // null: at rest
-  bool excess_data = false;      // more came than was asked for
+  Exchange* exchange = nullptr;  // null: idle
+  bool excess_data = false;      // more bytes arrived than the response; don't reuse
   Time idle_since{};
 };
 
@@ -57,15 +59,15 @@
   Time send_by = Time::max();
   bool connecting = false;
   bool written = false;
-  bool response_started = false;       // has_body of the response has come
-  bool streams_request = false;        // the body comes in pieces
-  bool request_body_complete = false;  // and all of it has been given
-  bool streams_response = false;       // the response goes on in pieces
-  bool paused = false;                 // its reader lags
-  bool holds_response = false;         // it may yet turn out short
-  Span timeout{};                      // of a body that is streams_request: from its end on
-  Span latency{};                      // of a long response
-  Message response_head;               // of that
+  bool response_started = false;       // part of the response has arrived
+  bool streams_request = false;        // the request body is streamed
+  bool request_body_complete = false;  // EndBody was called
+  bool streams_response = false;       // the response is streamed
+  bool paused = false;                 // PauseResponse was called
+  bool holds_response = false;         // buffered for now; it may end before kResponseHoldTime
+  Span timeout{};                      // for the response to a streaming request; starts after the body
+  Span latency{};                      // of a streamed response
+  Message response_head;               // of a streamed response
   std::unique_ptr<Connection> connection;
   Timer timer;
 };
@@ -104,7 +106,7 @@
   exchange.connection->exchange = &exchange;
   exchange.connecting = true;
   ArmTimer(exchange, exchange.started + limits_.connect_timeout);
-  // No socket, such as for want of descriptors: the real server is not to blame.
+  // No socket, for example because descriptors ran out; the real server is not to blame.
   if (!exchange.connection->stream.Connect(address)) {
     counters_.Add("connections_no_room");
     CloseOldestIdle();
@@ -113,13 +115,14 @@
   return id;
 }
 
-// Until has_body time, but not past the exchange's own, nor past that by which its last byte has to be out.
+// Arms the timer for `limit`, but no later than the deadline of the exchange and its send_by time.
 void RealServers::ArmTimer(Exchange& exchange, Time limit) {
   const Time deadline = std::min({limit, exchange.deadline, exchange.send_by});
   exchange.timer.Start(std::max<Span>(deadline - Clock::now(), Span::zero()));
 }
 
-// The list may have changed while the connection came up, the client may have left, and its time has gone on.
+// Builds the request only now: while the connection was opened, the server list may have changed, the client
+// may have left, and part of the timeout has passed.
 void RealServers::SendRequest(Exchange& exchange) {
   const Time now = Clock::now();
   std::optional<std::string> request;
@@ -142,7 +145,7 @@
   }
 }
 
-// Never from inside the call that starts or feeds it.
+// Ends the exchange from the event loop, never inside the call that starts it or sends its body.
 void RealServers::EndLater(ExchangeId id, Code code) {
   loop_.Post(alive_, [this, id, code] {
     if (const auto it = exchanges_.find(id); it != exchanges_.end()) End(*it->second, code);
@@ -191,7 +194,7 @@
   const auto it = exchanges_.find(id);
   if (it == exchanges_.end() || it->second->paused) return;
   it->second->paused = true;
-  it->second->timer.Stop();  // whoever reads it has a deadline of its own
+  it->second->timer.Stop();  // the reader of the response has its own deadline
   it->second->connection->stream.Pause();
 }
 
@@ -213,14 +216,14 @@
 
 void RealServers::OnData(Connection& connection, std::string_view bytes) {
   Exchange* exchange = connection.exchange;
-  if (exchange == nullptr) {  // nothing was asked: not to be trusted any more
+  if (exchange == nullptr) {  // unsolicited data: the connection can't be trusted any more
     last_excess_data_ = Clock::now();
     counters_.Add("answers_behind_answers");
     return OnEnd(connection);
   }
   size_t used = 0;
   const ParseResult parsed = connection.parser.Feed(bytes, &used);
-  // More than the response is no part of it, but nothing that follows on this connection can be trusted.
+  // Bytes after the response don't belong to it, and later data on this connection can't be trusted.
   if (parsed == ParseResult::kComplete && used < bytes.size()) {
     counters_.Add("answers_with_excess");
     last_excess_data_ = Clock::now();
@@ -229,11 +232,11 @@
   OnResponseProgress(connection, parsed);
 }
 
-// What has come of an response so far, or all of it.
+// Handles the part of a response that has arrived so far, or the complete response.
 void RealServers::OnResponseProgress(Connection& connection, ParseResult parsed) {
   Exchange* exchange = connection.exchange;
   HttpParser& parser = connection.parser;
-  // Before the request has gone out whole, only a body that is refused half-way has its response.
+  // Before the request is completely written, only an error status for a streaming request body is accepted.
   if (!exchange->written) {
     const int status = parser.message().status;
     const bool refused = exchange->streams_request && parser.head_complete() && status / 100 > 2;
@@ -244,7 +247,7 @@
     counters_.Add("answers_unasked");
     return End(*exchange, Code::kNotConnected);
   }
-  // Whoever answers has the request.
+  // The server has received the request if it responds.
   if (std::exchange(exchange->send_by, Time::max()) != Time::max()) ArmTimer(*exchange, exchange->deadline);
   if (parsed != ParseResult::kIncomplete && parsed != ParseResult::kComplete) {
     counters_.Add("answers_malformed");
@@ -253,7 +256,7 @@
   const bool has_body = parsed == ParseResult::kComplete || !parser.message().body.empty();
   if (parser.is_streaming() && has_body && !exchange->streams_response) {
     if (parser.message().status != 200 || !exchange->events.on_response_head) {
-      return End(*exchange, Code::kResponse, parser.TakeHead());  // nobody reads what follows
+      return End(*exchange, Code::kResponse, parser.TakeHead());  // the rest of the body is not read
     }
     exchange->streams_response = true;
     exchange->latency = Clock::now() - exchange->started;
@@ -261,7 +264,7 @@
     streaming_limit_.BeginTransfer();
     exchange->response_head = parser.TakeHead();
     exchange->events.on_response_head(exchange->response_head);
-    if (connection.exchange != exchange) return;  // nobody wants it
+    if (connection.exchange != exchange) return;  // the callback cancelled the exchange
   }
   if (exchange->streams_response) {
     if (std::string piece = parser.TakeBodyPart(); !piece.empty())
@@ -272,7 +275,7 @@
   if (parser.message_started()) ArmResponseTimer(*exchange);
 }
 
-// How long for, deadline something more of the response comes.
+// Arms the timer for the next part of the response.
 void RealServers::ArmResponseTimer(Exchange& exchange) {
   const HttpParser& parser = exchange.connection->parser;
   if (exchange.streams_response) {
@@ -281,7 +284,7 @@
   }
   const Span left = exchange.deadline - Clock::now();
   const bool length_known = !parser.head_complete() || parser.message().content_length.has_value();
-  // The pieces of an response of unknown length do not put off its being passed on.
+  // Further parts of a response of unknown length do not extend the hold time.
   if (!length_known && parser.message().status == 200 && exchange.events.on_response_head) {
     if (!std::exchange(exchange.holds_response, true))
       exchange.timer.Start(std::clamp<Span>(left, 0ms, kResponseHoldTime));
@@ -305,7 +308,7 @@
 
 void RealServers::OnEnd(Connection& connection) {
   if (Exchange* exchange = connection.exchange; exchange != nullptr) {
-    // An response without a length complete_at_close here too, where the other side has closed as it should.
+    // A response without a length ends when the server closes the connection cleanly.
     const bool complete_at_close = exchange->written && connection.stream.ended_well() &&
                                    connection.parser.head_complete() &&
                                    connection.parser.FeedEnd() == ParseResult::kComplete;
@@ -344,7 +347,7 @@
   Exchange& exchange = *it->second;
   if (Clock::now() >= exchange.send_by) {
     const bool held_back = !exchange.connecting && exchange.connection->stream.HeldBack();
-    if (exchange.written && !held_back) {  // the server has it
+    if (exchange.written && !held_back) {  // the server has received the request
       exchange.send_by = Time::max();
       return ArmTimer(exchange, exchange.deadline);
     }
@@ -356,7 +359,7 @@
     counters_.Add("answers_stalled");
     return End(exchange, Code::kReset);
   }
-  if (exchange.holds_response) {  // it goes on for longer than is held back
+  if (exchange.holds_response) {  // not complete within kResponseHoldTime: stream it
     exchange.holds_response = false;
     exchange.connection->parser.StartStreaming();
     return OnResponseProgress(*exchange.connection, ParseResult::kIncomplete);
@@ -368,7 +371,7 @@
   End(exchange, exchange.written ? Code::kTimedOut : Code::kNotConnected);
 }
 
-// The connection is closed, or at rest, before anybody hears of the end: never two attempts in flight.
+// The connection is closed or idle before on_done runs, so that two attempts are never in flight at once.
 void RealServers::End(Exchange& exchange, Code code, Message response) {
   const auto it = exchanges_.find(exchange.id);
   std::unique_ptr<Exchange> ended = std::move(it->second);
@@ -405,11 +408,12 @@
   return Clock::now() - connection.idle_since < limits_.idle_timeout - margin;
 }
 
-// Guards against the rest of an earlier response being read as the next one: a connection that has more to
-// read is closed, and what comes has_body milliseconds late has come on one that has settled. The newest of
-// those, so that the others may rest deadline they are swept. One that has not settled serves where there is
-// no other, lest calls that come one right after another cost a new connection each; but not while servers
-// are length_known to send more than their answers.
+// Returns an idle connection, or null. The checks keep the rest of an earlier response from being read as the
+// next one: a connection with unread bytes is closed, and connections idle for at least kSettleTime are
+// preferred, because excess data arrives within milliseconds. The newest of these is taken; the others can
+// expire. A connection that has not settled is used only if there is no other, because back-to-back requests
+// would otherwise open a new connection each, and only if no server sent excess data within
+// kExcessDataWindow.
 std::unique_ptr<RealServers::Connection> RealServers::TakeIdle(ServerId server, const Address& address) {
   const auto it = idle_.find(server);
   if (it == idle_.end()) return nullptr;
@@ -464,7 +468,7 @@
       Destroy(std::move(idle.front()));
       idle.erase(idle.begin());
     }
-    it = idle.empty() ? idle_.erase(it) : std::next(it);  // servers come and go, and their numbers with them
+    it = idle.empty() ? idle_.erase(it) : std::next(it);  // new servers get new numbers
   }
 }
 
--- a/src/server/real_server.h
+++ b/src/server/real_server.h
@@ -1,5 +1,5 @@
-// Connections to the real servers, kept warm between requests, and the exchanges on them: one request out,
-// one whole response back. Nothing here sends a request a second time.
+// Pooled HTTP/1.1 connections to the real servers and the exchanges on them. An exchange sends one request
+// and receives one response; this class never retries a request.
 #ifndef UMBERDYKE_SERVER_REAL_SERVER_H_
 #define UMBERDYKE_SERVER_REAL_SERVER_H_
 
@@ -22,31 +22,33 @@
 
 struct ExchangeResult {
   enum class Code {
-    kResponse,
-    kNotConnected,  // refused, never up, or broken before the request's last byte was written
-    kReset,         // broken after that
-    kMalformed,     // the response made no sense, or is not the one that was asked for
-    kTimedOut,      // no whole response in time, though the request was written
-    kNotSent,       // every descriptor is in use, nobody wants it any more, or it is too late to send it
+    kResponse,      // a complete response, or only its head (streamed body, or a long body that is not read)
+    kNotConnected,  // connect failed, or the connection broke or was answered before the request was written
+    kReset,         // the connection broke after the request was written, or a streamed response failed
+    kMalformed,     // the response is malformed, too long, or stalled before it was complete
+    kTimedOut,      // the request was written, but no complete response arrived in time
+    kNotSent,       // no free connection, make_request returned nothing, or send_by has passed
   };
   Code code;
-  Message response;  // without a body where it was told in pieces
-  Span latency{};    // of a long response: to its first bytes; of a body that was streams_request: from its
-                     // last byte on
+  Message response;  // without its body where the body was streamed
+  // Up to the complete response, or up to the first body bytes of a streamed response. Starts at the call of
+  // Start, or at the last request byte where the request body was streamed.
+  Span latency{};
 };
 
-// What the one that starts an exchange is asked and told. All but request and done may be empty.
+// Callbacks of an exchange. All except make_request and on_done may be empty.
 struct ExchangeEvents {
-  // The request's text, asked for right before its first byte goes out, with the time that is left for its
-  // response by then; nothing where it is not to be sent any more.
+  // Returns the text of the request, or nothing to cancel it. Called right before the first byte is written;
+  // `left` is the time that remains for the response.
   std::function<std::optional<std::string>(Span left)> make_request;
-  std::function<void()> on_written;  // the request's last byte is written
-  // A body that is streams_request: its head is out, or has_body of it is, and there is room for more.
+  std::function<void()> on_written;  // the last byte of the request is written
+  // Streaming request body: the head or a part of the body is written, and there is buffer space for more.
   std::function<void()> on_buffer_space;
-  // A long response of 200: its head, then its body in pieces. Without this, a long response is spoilt.
+  // Streaming response with status 200: the head, then the body in parts. Without on_response_head, and for
+  // other statuses, a response that is too long to buffer ends the exchange with its head.
   std::function<void(const Message& head)> on_response_head;
   std::function<void(std::string piece)> on_response_body;
-  // Follows in any case but Cancel, never from inside Start; the connection is closed or at rest by then.
+  // Called once, except after Cancel, and never from inside Start. The connection is closed or idle by then.
   std::function<void(ExchangeResult)> on_done;
 };
 
@@ -54,34 +56,36 @@
  public:
   struct Limits {
     std::chrono::microseconds connect_timeout;
-    std::chrono::microseconds idle_timeout;  // real servers close what stood idle for this long
+    std::chrono::microseconds idle_timeout;  // real servers close connections that are idle for this long
     int max_connections;
   };
 
   RealServers(Loop& loop, const Limits& limits, StreamingBufferLimit& streaming_limit, Counters& counters);
   ~RealServers();
 
-  // The request's last byte is written by `send_by`, or never; a body that is streams_request knows no such
-  // time.
+  // Starts an exchange on an idle connection, or on a new one. The exchange ends with kNotSent or kReset
+  // where the last byte of the request is not written by `send_by`; streaming request bodies ignore
+  // `send_by`.
   ExchangeId Start(ServerId server, const Address& address, Span timeout, Time send_by, ExchangeEvents events,
                    bool streams_request = false);
-  // More of the request's body, where it is streams_request; `room` says when. The time-out runs from its
-  // end.
+  // Writes the next part of a streaming request body. Call it when HasBufferSpace or on_buffer_space says so.
   void SendBody(ExchangeId exchange, std::string bytes);
   bool HasBufferSpace(ExchangeId exchange) const;
+  // Ends a streaming request body. `timeout` for the response starts once the last byte is written.
   void EndBody(ExchangeId exchange, Span timeout);
-  // The long response's reader lags, or has caught up.
+  // Backpressure for a streaming response: stops and restarts reading from the real server.
   void PauseResponse(ExchangeId exchange);
   void ResumeResponse(ExchangeId exchange);
-  // Closes the exchange's connection; `done` does not follow. Says whether the request had been written
-  // whole; nothing for an exchange that is over.
+  // Closes the exchange's connection; on_done is not called. Returns whether the complete request had been
+  // written, or nothing for an exchange that has already ended.
   std::optional<bool> Cancel(ExchangeId exchange);
+  // Closes the idle connections to `server`.
   void CloseIdle(ServerId server);
-  // Closes connections near the end of their idle time.
+  // Closes idle connections that are close to the idle timeout.
   void CloseExpired();
-  bool IsWritten(ExchangeId id) const;  // the request's last byte is written
-  // From now on so many connections at limit; those at rest over that close.
-  void SetMaxConnections(int descriptors);
+  bool IsWritten(ExchangeId id) const;  // the last byte of the request is written
+  // Sets the connection limit and closes idle connections above it.
+  void SetMaxConnections(int max_connections);
   int open_connections() const { return open_connections_; }
 
  private:
