--- a/src/http1/http.cpp
+++ b/src/http1/http.cpp
@@ -9,7 +9,7 @@
 namespace umberdyke::net {
 namespace {
 
-const char* ReasonOf(int status) {
+const char* ReasonPhrase(int status) {
   switch (status) {
 #define UMBERDYKE_REASON(number, name, text) \
   case number:                               \
@@ -29,22 +29,23 @@
 
 }  // namespace
 
-bool SameName(std::string_view a, std::string_view b) {
+bool HeaderNamesEqual(std::string_view a, std::string_view b) {
   return a.size() == b.size() && strncasecmp(a.data(), b.data(), a.size()) == 0;
 }
 
 const std::string* Message::Find(std::string_view name) const {
   for (const Header& header : headers) {
-    if (SameName(header.name, name)) return &header.value;
+    if (HeaderNamesEqual(header.name, name)) return &header.value;
   }
   return nullptr;
 }
 
-bool IsHopHeader(std::string_view name) {
-  static constexpr std::array<std::string_view, 10> kHop = {
+bool IsHopByHopHeader(std::string_view name) {
+  static constexpr std::array<std::string_view, 10> kHopByHop = {
       "Connection",          "Keep-Alive", "TE",     "Trailer",        "Transfer-Encoding",
       "Proxy-Authorization", "Upgrade",    "Expect", "Content-Length", "Proxy-Connection"};
-  return std::any_of(kHop.begin(), kHop.end(), [&](std::string_view hop) { return SameName(hop, name); });
+  return std::any_of(kHopByHop.begin(), kHopByHop.end(),
+                     [&](std::string_view hop) { return HeaderNamesEqual(hop, name); });
 }
 
 HttpParser::HttpParser(Kind kind) : kind_(kind) {
@@ -56,31 +57,31 @@
   http_parser_settings s;
   http_parser_settings_init(&s);
   s.on_message_begin = [](http_parser* p) {
-    Of(p).message_started_ = true;
+    FromCallback(p).message_started_ = true;
     return 0;
   };
   s.on_url = [](http_parser* p, const char* at, size_t n) {
-    return Of(p).TakeText(&Of(p).message_.target, at, n);
+    return FromCallback(p).AppendText(&FromCallback(p).message_.target, at, n);
   };
   s.on_header_field = [](http_parser* p, const char* at, size_t n) {
-    HttpParser& self = Of(p);
-    if (self.head_complete_) return self.TakeText(&self.trailer_, at, n);
+    HttpParser& self = FromCallback(p);
+    if (self.head_complete_) return self.AppendText(&self.trailers_, at, n);
     if (self.in_value_ || self.message_.headers.empty()) self.message_.headers.emplace_back();
     self.in_value_ = false;
-    return self.TakeText(&self.message_.headers.back().name, at, n);
+    return self.AppendText(&self.message_.headers.back().name, at, n);
   };
   s.on_header_value = [](http_parser* p, const char* at, size_t n) {
-    if (Of(p).head_complete_) return Of(p).TakeText(&Of(p).trailer_, at, n);
-    Of(p).in_value_ = true;
-    return Of(p).TakeText(&Of(p).message_.headers.back().value, at, n);
+    if (FromCallback(p).head_complete_) return FromCallback(p).AppendText(&FromCallback(p).trailers_, at, n);
+    FromCallback(p).in_value_ = true;
+    return FromCallback(p).AppendText(&FromCallback(p).message_.headers.back().value, at, n);
   };
-  s.on_headers_complete = [](http_parser* p) { return Of(p).EndHead(); };
-  s.on_body = [](http_parser* p, const char* at, size_t n) { return Of(p).TakeBody(at, n); };
-  s.on_message_complete = [](http_parser* p) { return Of(p).EndMessage(); };
+  s.on_headers_complete = [](http_parser* p) { return FromCallback(p).OnHeadComplete(); };
+  s.on_body = [](http_parser* p, const char* at, size_t n) { return FromCallback(p).AppendBody(at, n); };
+  s.on_message_complete = [](http_parser* p) { return FromCallback(p).OnMessageComplete(); };
   return s;
 }
 
-int HttpParser::TakeText(std::string* into, const char* at, size_t length) {
+int HttpParser::AppendText(std::string* into, const char* at, size_t length) {
   head_bytes_ += length;
   if (head_bytes_ > kMaxHeadBytes) {
     failure_ = ParseResult::kHeadTooLong;
@@ -90,7 +91,7 @@
   return 0;
 }
 
-int HttpParser::TakeBody(const char* at, size_t length) {
+int HttpParser::AppendBody(const char* at, size_t length) {
   if (sink_) {
     sink_({at, length});
     return 0;
@@ -106,32 +107,32 @@
 }
 
 // Guards against a request hidden in another's body and against lines smuggled into what is written on: a
-// length told twice or in two ways, a coding other than chunked, and control characters in a header.
-bool HttpParser::Ambiguous() const {
+// length given twice or in two ways, a coding other than chunked, and control characters in a header.
+bool HttpParser::IsAmbiguous() const {
   int lengths = 0;
   int codings = 0;
   for (const Header& header : message_.headers) {
     const auto control = [](unsigned char c) { return (c < ' ' && c != '\t') || c == 127; };
     if (std::any_of(header.value.begin(), header.value.end(), control)) return true;
-    lengths += SameName(header.name, "Content-Length") ? 1 : 0;
-    const bool coding = SameName(header.name, "Transfer-Encoding");
+    lengths += HeaderNamesEqual(header.name, "Content-Length") ? 1 : 0;
+    const bool coding = HeaderNamesEqual(header.name, "Transfer-Encoding");
     codings += coding ? 1 : 0;
-    if (coding && !SameName(header.value, "chunked")) return true;
+    if (coding && !HeaderNamesEqual(header.value, "chunked")) return true;
   }
   // What this file and the parser below it make of the coding has to be the same.
   const bool chunked = (parser_.flags & F_CHUNKED) != 0;
   // Before HTTP/1.1 there were no chunks: who sends them so may be understood in two ways.
-  const bool early = kind_ == Kind::kRequest && parser_.http_major == 1 && parser_.http_minor == 0;
-  return lengths + codings > 1 || chunked != (codings > 0) || (early && codings > 0);
+  const bool is_http_1_0 = kind_ == Kind::kRequest && parser_.http_major == 1 && parser_.http_minor == 0;
+  return lengths + codings > 1 || chunked != (codings > 0) || (is_http_1_0 && codings > 0);
 }
 
-int HttpParser::EndHead() {
+int HttpParser::OnHeadComplete() {
   // White space round a value is no part of it.
   for (Header& header : message_.headers) {
     const size_t end = header.value.find_last_not_of(" \t");
     header.value.erase(end == std::string::npos ? 0 : end + 1);
   }
-  if (Ambiguous()) {
+  if (IsAmbiguous()) {
     failure_ = ParseResult::kMalformed;
     return -1;
   }
@@ -140,23 +141,23 @@
   if (kind_ == Kind::kRequest) message_.method = http_method_str(static_cast<http_method>(parser_.method));
   message_.keep_alive = http_should_keep_alive(&parser_) != 0;
   message_.accepts_chunked = parser_.http_major > 1 || (parser_.http_major == 1 && parser_.http_minor >= 1);
-  const bool told = (parser_.flags & F_CONTENTLENGTH) != 0;
-  if (told) message_.content_length = parser_.content_length;
+  const bool has_content_length = (parser_.flags & F_CONTENTLENGTH) != 0;
+  if (has_content_length) message_.content_length = parser_.content_length;
   head_complete_ = true;
   // A length that is announced too long need not be waited for.
-  if (!sink_ && told &&
+  if (!sink_ && has_content_length &&
       parser_.content_length > (stream_long_bodies_ ? kMaxStreamedBody : kMaxBufferedBody)) {
     failure_ = ParseResult::kBodyTooLong;
     return -1;
   }
-  streaming_ = !sink_ && told && parser_.content_length > kMaxBufferedBody;
+  streaming_ = !sink_ && has_content_length && parser_.content_length > kMaxBufferedBody;
   return 0;
 }
 
-int HttpParser::EndMessage() {
+int HttpParser::OnMessageComplete() {
   if (kind_ == Kind::kResponse &&
       parser_.status_code / 100 == 1) {  // an interim answer: the real one follows
-    if (++interim_ > kMaxInterimResponses) {
+    if (++interim_responses_ > kMaxInterimResponses) {
       failure_ = ParseResult::kMalformed;
       return 1;
     }
@@ -164,7 +165,7 @@
     message_started_ = head_complete_ = in_value_ = false;
     return 0;
   }
-  complete_ = true;
+  message_complete_ = true;
   http_parser_pause(&parser_, 1);
   return 0;
 }
@@ -172,7 +173,7 @@
 ParseResult HttpParser::Feed(std::string_view bytes, size_t* used) {
   static const http_parser_settings kCallbacks = Callbacks();
   *used = http_parser_execute(&parser_, &kCallbacks, bytes.data(), bytes.size());
-  return Finish(*used, bytes.size());
+  return ResultOf(*used, bytes.size());
 }
 
 ParseResult HttpParser::FeedEnd() {
@@ -188,12 +189,12 @@
   return head;
 }
 
-ParseResult HttpParser::Finish(size_t used, size_t given) {
+ParseResult HttpParser::ResultOf(size_t used, size_t size) {
   if (failure_ != ParseResult::kIncomplete) return failure_;
-  if (complete_) return ParseResult::kComplete;
+  if (message_complete_) return ParseResult::kComplete;
   const http_errno error = HTTP_PARSER_ERRNO(&parser_);
   if (error == HPE_HEADER_OVERFLOW) return ParseResult::kHeadTooLong;
-  if (error != HPE_OK || used != given) return ParseResult::kMalformed;
+  if (error != HPE_OK || used != size) return ParseResult::kMalformed;
   return ParseResult::kIncomplete;
 }
 
@@ -201,19 +202,19 @@
   Message message = std::move(message_);
   message_ = Message();
   http_parser_init(&parser_, kind_ == Kind::kRequest ? HTTP_REQUEST : HTTP_RESPONSE);
-  trailer_.clear();
+  trailers_.clear();
   head_bytes_ = body_bytes_ = 0;
   streaming_ = false;
-  interim_ = 0;
-  message_started_ = in_value_ = head_complete_ = complete_ = false;
+  interim_responses_ = 0;
+  message_started_ = in_value_ = head_complete_ = message_complete_ = false;
   failure_ = ParseResult::kIncomplete;
   return message;
 }
 
 namespace {
 
-std::string AnswerStart(int status, const std::vector<Header>& headers, bool keep_alive) {
-  std::string out = "HTTP/1.1 " + std::to_string(status) + " " + ReasonOf(status) + "\r\n";
+std::string ResponseStart(int status, const std::vector<Header>& headers, bool keep_alive) {
+  std::string out = "HTTP/1.1 " + std::to_string(status) + " " + ReasonPhrase(status) + "\r\n";
   AppendHeaders(headers, &out);
   if (!keep_alive) out += "Connection: close\r\n";
   return out;
@@ -237,7 +238,7 @@
 
 std::string WriteResponseHead(int status, const std::vector<Header>& headers, const Framing& framing,
                               bool keep_alive) {
-  return AnswerStart(status, headers, keep_alive) + FramingHeader(framing);
+  return ResponseStart(status, headers, keep_alive) + FramingHeader(framing);
 }
 
 std::string WriteRequestHead(std::string_view method, std::string_view target,
--- a/src/http1/http.h
+++ b/src/http1/http.h
@@ -25,7 +25,7 @@
   std::string value;
 };
 
-bool SameName(std::string_view a, std::string_view b);  // header names, whatever their case
+bool HeaderNamesEqual(std::string_view a, std::string_view b);  // header names, whatever their case
 
 struct Message {
   std::string method;
@@ -41,7 +41,7 @@
 };
 
 // Headers that hold for one connection only, and those that a writer sets itself.
-bool IsHopHeader(std::string_view name);
+bool IsHopByHopHeader(std::string_view name);
 
 enum class ParseResult { kIncomplete, kComplete, kMalformed, kHeadTooLong, kBodyTooLong };
 
@@ -72,29 +72,29 @@
   const Message& message() const { return message_; }
 
  private:
-  static HttpParser& Of(http_parser* parser) { return *static_cast<HttpParser*>(parser->data); }
+  static HttpParser& FromCallback(http_parser* parser) { return *static_cast<HttpParser*>(parser->data); }
   static http_parser_settings Callbacks();
-  int TakeText(std::string* into, const char* at, size_t length);
-  int TakeBody(const char* at, size_t length);
-  int EndHead();
-  bool Ambiguous() const;
-  int EndMessage();
-  ParseResult Finish(size_t used, size_t given);
+  int AppendText(std::string* into, const char* at, size_t length);
+  int AppendBody(const char* at, size_t length);
+  int OnHeadComplete();
+  bool IsAmbiguous() const;
+  int OnMessageComplete();
+  ParseResult ResultOf(size_t used, size_t size);
 
   Kind kind_;
   http_parser parser_;
   Message message_;
-  std::string trailer_;  // read past: what follows a body is no header of its message
+  std::string trailers_;  // read past: what follows a body is no header of its message
   std::function<void(std::string_view)> sink_;
   size_t head_bytes_ = 0;
   size_t body_bytes_ = 0;
   bool stream_long_bodies_ = false;
   bool streaming_ = false;
-  int interim_ = 0;  // 1xx answers in front
+  int interim_responses_ = 0;  // 1xx answers in front
   bool message_started_ = false;
   bool in_value_ = false;
   bool head_complete_ = false;
-  bool complete_ = false;
+  bool message_complete_ = false;
   ParseResult failure_ = ParseResult::kIncomplete;
 };
 
--- a/src/platform/platform.cpp
+++ b/src/platform/platform.cpp
@@ -48,7 +48,7 @@
 void DropNamedByConnection(Message* message) {
   std::vector<std::string> named;
   for (const Header& header : message->headers) {
-    if (!SameName(header.name, "Connection")) continue;
+    if (!HeaderNamesEqual(header.name, "Connection")) continue;
     std::string_view rest = header.value;
     while (!rest.empty()) {
       std::string_view part = rest.substr(0, rest.find(','));
@@ -59,7 +59,8 @@
     }
   }
   std::erase_if(message->headers, [&](const Header& header) {
-    return std::any_of(named.begin(), named.end(), [&](const auto& n) { return SameName(n, header.name); });
+    return std::any_of(named.begin(), named.end(),
+                       [&](const auto& n) { return HeaderNamesEqual(n, header.name); });
   });
 }
 
@@ -134,7 +135,7 @@
   DropNamedByConnection(&message);
   // Told twice, a real server might read the other one.
   for (const char* once : {kId, kClass, kTenant, kTime, kKey}) {
-    const auto same = [once](const Header& header) { return SameName(header.name, once); };
+    const auto same = [once](const Header& header) { return HeaderNamesEqual(header.name, once); };
     if (std::count_if(message.headers.begin(), message.headers.end(), same) > 1) {
       return BadRequest{400, std::string(once) + " comes more than once"};
     }
@@ -178,7 +179,7 @@
 std::string Platform::BuildRequest(const FlowRequest& request, std::chrono::milliseconds wait) const {
   std::vector<Header> headers;
   for (const Header& header : request.message.headers) {
-    if (!IsHopHeader(header.name) && !SameName(header.name, kTime)) headers.push_back(header);
+    if (!IsHopByHopHeader(header.name) && !HeaderNamesEqual(header.name, kTime)) headers.push_back(header);
   }
   headers.push_back({kTime, std::to_string(wait.count())});
   const Message& message = request.message;
@@ -231,7 +232,7 @@
 std::vector<Header> PassedOn(const Message& answer) {
   std::vector<Header> headers;
   for (const Header& header : answer.headers) {
-    if (!IsHopHeader(header.name) && !SameName(header.name, kLoad)) headers.push_back(header);
+    if (!IsHopByHopHeader(header.name) && !HeaderNamesEqual(header.name, kLoad)) headers.push_back(header);
   }
   return headers;
 }
