--- a/src/http1/http.cpp
+++ b/src/http1/http.cpp
@@ -106,8 +106,8 @@
   return 0;
 }
 
-// Guards against a request hidden in another's body and against lines smuggled into what is written on: a
-// length given twice or in two ways, a coding other than chunked, and control characters in a header.
+// Returns true for heads that allow request smuggling or header injection: more than one body length, a
+// transfer coding other than chunked, or control characters in a header value.
 bool HttpParser::IsAmbiguous() const {
   int lengths = 0;
   int codings = 0;
@@ -119,15 +119,15 @@
     codings += coding ? 1 : 0;
     if (coding && !HeaderNamesEqual(header.value, "chunked")) return true;
   }
-  // What this file and the parser below it make of the coding has to be the same.
+  // http_parser must have recognized the same transfer coding as the check above.
   const bool chunked = (parser_.flags & F_CHUNKED) != 0;
-  // Before HTTP/1.1 there were no chunks: who sends them so may be understood in two ways.
+  // HTTP/1.0 has no chunked coding, so receivers may disagree on where such a body ends.
   const bool is_http_1_0 = kind_ == Kind::kRequest && parser_.http_major == 1 && parser_.http_minor == 0;
   return lengths + codings > 1 || chunked != (codings > 0) || (is_http_1_0 && codings > 0);
 }
 
 int HttpParser::OnHeadComplete() {
-  // White space round a value is no part of it.
+  // Trailing white space is not part of a header value.
   for (Header& header : message_.headers) {
     const size_t end = header.value.find_last_not_of(" \t");
     header.value.erase(end == std::string::npos ? 0 : end + 1);
@@ -136,7 +136,7 @@
     failure_ = ParseResult::kMalformed;
     return -1;
   }
-  parser_.upgrade = 0;  // no other protocol is spoken here: asking for one changes nothing
+  parser_.upgrade = 0;  // protocol upgrades are not supported and are ignored
   message_.status = kind_ == Kind::kResponse ? static_cast<int>(parser_.status_code) : 0;
   if (kind_ == Kind::kRequest) message_.method = http_method_str(static_cast<http_method>(parser_.method));
   message_.keep_alive = http_should_keep_alive(&parser_) != 0;
@@ -144,7 +144,7 @@
   const bool has_content_length = (parser_.flags & F_CONTENTLENGTH) != 0;
   if (has_content_length) message_.content_length = parser_.content_length;
   head_complete_ = true;
-  // A length that is announced too long need not be waited for.
+  // Reject an announced length over the limit at once.
   if (!sink_ && has_content_length &&
       parser_.content_length > (stream_long_bodies_ ? kMaxStreamedBody : kMaxBufferedBody)) {
     failure_ = ParseResult::kBodyTooLong;
@@ -156,7 +156,7 @@
 
 int HttpParser::OnMessageComplete() {
   if (kind_ == Kind::kResponse &&
-      parser_.status_code / 100 == 1) {  // an interim answer: the real one follows
+      parser_.status_code / 100 == 1) {  // interim response; the final one follows
     if (++interim_responses_ > kMaxInterimResponses) {
       failure_ = ParseResult::kMalformed;
       return 1;
@@ -247,7 +247,7 @@
 }
 
 std::string WriteBodyPart(std::string piece, const Framing& framing) {
-  if (!framing.chunked || piece.empty()) return piece;  // an empty chunk would be the last one
+  if (!framing.chunked || piece.empty()) return piece;  // an empty chunk would end the body
   char size[20];
   std::snprintf(size, sizeof size, "%zx\r\n", piece.size());
   return size + piece + "\r\n";
--- a/src/http1/http.h
+++ b/src/http1/http.h
@@ -1,4 +1,5 @@
-// HTTP/1.1 messages: an incremental parser with limits, and writers. Knows nothing of the platform.
+// Incremental HTTP/1.1 parser with size limits, and functions that serialize messages. Independent of the
+// platform's protocol (see platform/platform.h).
 #ifndef UMBERDYKE_HTTP1_HTTP_H_
 #define UMBERDYKE_HTTP1_HTTP_H_
 
@@ -14,18 +15,17 @@
 
 namespace umberdyke::net {
 
-constexpr size_t kMaxBufferedBody =
-    64 * 1024;  // held whole; a longer one is passed on as it comes, or refused
-constexpr size_t kMaxStreamedBody = 48 * 1024 * 1024;  // and no body is longer than this
+constexpr size_t kMaxBufferedBody = 64 * 1024;  // a longer body is streamed or rejected
+constexpr size_t kMaxStreamedBody = 48 * 1024 * 1024;
 constexpr size_t kMaxHeadBytes = 16 * 1024;
-constexpr int kMaxInterimResponses = 8;  // 1xx answers in front of one answer
+constexpr int kMaxInterimResponses = 8;  // 1xx responses before the final response
 
 struct Header {
   std::string name;
   std::string value;
 };
 
-bool HeaderNamesEqual(std::string_view a, std::string_view b);  // header names, whatever their case
+bool HeaderNamesEqual(std::string_view a, std::string_view b);  // ignores case
 
 struct Message {
   std::string method;
@@ -34,13 +34,13 @@
   std::vector<Header> headers;
   std::string body;
   bool keep_alive = false;
-  bool accepts_chunked = false;                 // its sender speaks HTTP/1.1
-  std::optional<std::uint64_t> content_length;  // of the body, where the head tells it
-  // The first value of a header; null where it is absent.
+  bool accepts_chunked = false;                 // the sender speaks HTTP/1.1
+  std::optional<std::uint64_t> content_length;  // absent where the head has none
+  // Returns the first value of a header, or null.
   const std::string* Find(std::string_view name) const;
 };
 
-// Headers that hold for one connection only, and those that a writer sets itself.
+// True for hop-by-hop headers and for headers that the Write functions set themselves.
 bool IsHopByHopHeader(std::string_view name);
 
 enum class ParseResult { kIncomplete, kComplete, kMalformed, kHeadTooLong, kBodyTooLong };
@@ -52,21 +52,23 @@
   HttpParser(const HttpParser&) = delete;
   HttpParser& operator=(const HttpParser&) = delete;
 
-  // Takes bytes up to the end of one message; *used says how many. After kComplete, Take() and go on.
+  // Parses up to the end of one message and sets *used to the number of bytes consumed. After kComplete, call
+  // Take() before parsing the next message.
   ParseResult Feed(std::string_view bytes, size_t* used);
   Message Take();
-  // The connection has ended: kComplete where that is how this message ends.
+  // Reports the end of the connection. kComplete if the message is delimited by it, otherwise kMalformed.
   ParseResult FeedEnd();
   bool message_started() const { return message_started_; }
-  // A message with a body over kMaxBufferedBody is no error from now on but a long one, up to
-  // kMaxStreamedBody: its head is taken once, then its body piece by piece after each Feed, the last of which
-  // says kComplete.
+  // Lets messages with a body over kMaxBufferedBody, up to kMaxStreamedBody, be streamed instead of failing
+  // with kBodyTooLong. Once is_streaming() is true, call TakeHead() once, then TakeBodyPart() after each Feed
+  // until kComplete.
   void StreamLongBodies() { stream_long_bodies_ = true; }
   bool is_streaming() const { return streaming_; }
-  void StartStreaming() { streaming_ = true; }  // though it is short so far: its end may be a while off
+  // Streams the current message although it is still short, because its end may be far off.
+  void StartStreaming() { streaming_ = true; }
   Message TakeHead();
   std::string TakeBodyPart() { return std::exchange(message_.body, {}); }
-  // Body bytes go there as they come, without a limit, instead of into the message.
+  // Passes body bytes to `sink` as they arrive, without a size limit, instead of storing them in the message.
   void StreamBodyTo(std::function<void(std::string_view)> sink) { sink_ = std::move(sink); }
   bool head_complete() const { return head_complete_; }
   const Message& message() const { return message_; }
@@ -84,13 +86,13 @@
   Kind kind_;
   http_parser parser_;
   Message message_;
-  std::string trailers_;  // read past: what follows a body is no header of its message
+  std::string trailers_;  // trailers of a chunked body are not headers and are discarded
   std::function<void(std::string_view)> sink_;
   size_t head_bytes_ = 0;
   size_t body_bytes_ = 0;
   bool stream_long_bodies_ = false;
   bool streaming_ = false;
-  int interim_responses_ = 0;  // 1xx answers in front
+  int interim_responses_ = 0;
   bool message_started_ = false;
   bool in_value_ = false;
   bool head_complete_ = false;
@@ -100,16 +102,17 @@
 
 std::string WriteResponse(int status, const std::vector<Header>& headers, std::string_view body,
                           bool keep_alive);
-// How a body's end is told, where the body follows in pieces.
+// How the receiver finds the end of a streamed body. With neither field set, the body ends with the
+// connection.
 struct Framing {
   std::optional<std::uint64_t> content_length;
-  bool chunked = false;  // neither: it ends with the connection
+  bool chunked = false;
 };
 std::string WriteResponseHead(int status, const std::vector<Header>& headers, const Framing& framing,
                               bool keep_alive);
 std::string WriteRequestHead(std::string_view method, std::string_view target,
                              const std::vector<Header>& headers, const Framing& framing);
-// A piece of a body as it goes out, and what follows the last one.
+// Encode a part of a streamed body, and the end of the body, for the given framing.
 std::string WriteBodyPart(std::string piece, const Framing& framing);
 std::string WriteBodyEnd(const Framing& framing);
 std::string WriteRequest(std::string_view method, std::string_view target, const std::vector<Header>& headers,
