--- a/src/platform/console_calls.cpp
+++ b/src/platform/console_calls.cpp
@@ -10,27 +10,27 @@
 namespace umberdyke::net {
 namespace {
 
-struct Path {
+struct Endpoint {
   std::string_view path;
   std::string_view method;
-  ConsoleEndpoint call;
+  ConsoleEndpoint id;
 };
-constexpr std::array<Path, 5> kPaths = {{{"/v1/readyz", "GET", ConsoleEndpoint::kReady},
-                                         {"/v1/metrics", "GET", ConsoleEndpoint::kMetrics},
-                                         {"/v1/sidecar/drain", "PUT", ConsoleEndpoint::kDrain},
-                                         {"/v1/sidecar/activate", "PUT", ConsoleEndpoint::kActivate},
-                                         {"/v1/fleet", "GET", ConsoleEndpoint::kFleet}}};
-constexpr std::string_view kEnd = "/v1/sidecar/end";
-constexpr std::string_view kOrders = "/v1/fleet/orders/";
-constexpr std::string_view kNotes = "/v1/fleet/notes/";
+constexpr std::array<Endpoint, 5> kEndpoints = {{{"/v1/readyz", "GET", ConsoleEndpoint::kReady},
+                                                 {"/v1/metrics", "GET", ConsoleEndpoint::kMetrics},
+                                                 {"/v1/sidecar/drain", "PUT", ConsoleEndpoint::kDrain},
+                                                 {"/v1/sidecar/activate", "PUT", ConsoleEndpoint::kActivate},
+                                                 {"/v1/fleet", "GET", ConsoleEndpoint::kFleet}}};
+constexpr std::string_view kEndPath = "/v1/sidecar/end";
+constexpr std::string_view kOrdersPath = "/v1/fleet/orders/";
+constexpr std::string_view kNotesPath = "/v1/fleet/notes/";
 constexpr const char* kApplicationHeader = "X-Fleet-Application";
 constexpr const char* kLifeHeader = "X-Fleet-Life";
 constexpr const char* kTermHeader = "X-Fleet-Term";
 constexpr const char* kStepHeader = "X-Fleet-Step";
-constexpr size_t kLongestWord = 128;
+constexpr size_t kMaxIdBytes = 128;
 
 // A number above zero in plain digits: no sign, blank, point or leading zero.
-std::optional<std::int64_t> Positive(const std::string* text) {
+std::optional<std::int64_t> ParsePositive(const std::string* text) {
   std::int64_t number = 0;
   if (text == nullptr || text->empty() || (*text)[0] < '1' || (*text)[0] > '9') return std::nullopt;
   const auto [end, error] = std::from_chars(text->data(), text->data() + text->size(), number);
@@ -38,18 +38,18 @@
   return number;
 }
 
-ConsoleRequest ReadOrder(const Message& message, std::string_view duty) {
+ConsoleRequest ParseOrder(const Message& message, std::string_view duty) {
   FleetOrder order;
   order.duty = std::string(duty);
   const std::string* application = message.Find(kApplicationHeader);
   const std::string* life = message.Find(kLifeHeader);
-  if (application == nullptr || application->empty() || application->size() > kLongestWord) {
+  if (application == nullptr || application->empty() || application->size() > kMaxIdBytes) {
     return ConsoleError{400, "an order names its application", ""};
   }
-  if (life == nullptr || life->empty() || life->size() > kLongestWord) {
+  if (life == nullptr || life->empty() || life->size() > kMaxIdBytes) {
     return ConsoleError{400, "an order names the life that it is for", ""};
   }
-  const auto term = Positive(message.Find(kTermHeader)), step = Positive(message.Find(kStepHeader));
+  const auto term = ParsePositive(message.Find(kTermHeader)), step = ParsePositive(message.Find(kStepHeader));
   if (!term) return ConsoleError{400, "an order has a term, a whole number above zero", ""};
   if (!step) return ConsoleError{400, "an order has a step, a whole number above zero", ""};
   if (message.body.size() > kMaxNoteBytes) return ConsoleError{413, "the order is too long", ""};
@@ -80,7 +80,7 @@
 
 namespace {
 
-void Line(std::string_view name, std::uint64_t count, std::string* out) {
+void AppendMetric(std::string_view name, std::uint64_t count, std::string* out) {
   out->append(name).append("=").append(std::to_string(count)).append("\n");
 }
 
@@ -89,30 +89,30 @@
 ConsoleRequest ParseConsoleRequest(const Message& message) {
   const std::string_view target(message.target);
   const std::string_view path = target.substr(0, target.find('?'));
-  for (const Path& known : kPaths) {
-    if (path != known.path) continue;
-    if (message.method == known.method) return known.call;
-    return ConsoleError{405, "this path takes " + std::string(known.method), std::string(known.method)};
+  for (const Endpoint& endpoint : kEndpoints) {
+    if (path != endpoint.path) continue;
+    if (message.method == endpoint.method) return endpoint.id;
+    return ConsoleError{405, "this path takes " + std::string(endpoint.method), std::string(endpoint.method)};
   }
-  if (path == kEnd) {
+  if (path == kEndPath) {
     if (message.method != "PUT") return ConsoleError{405, "this path takes PUT", "PUT"};
     const std::string* life = message.Find(kLifeHeader);
     if (life == nullptr || life->empty()) return ConsoleError{400, "who is to end is named by its life", ""};
     return EndProcess{*life};
   }
-  if (path.starts_with(kOrders) && path.size() - kOrders.size() <= kLongestWord) {
+  if (path.starts_with(kOrdersPath) && path.size() - kOrdersPath.size() <= kMaxIdBytes) {
     if (message.method != "PUT") return ConsoleError{405, "this path takes PUT", "PUT"};
-    return ReadOrder(message, path.substr(kOrders.size()));
+    return ParseOrder(message, path.substr(kOrdersPath.size()));
   }
-  if (path.starts_with(kNotes) && path.size() - kNotes.size() <= kLongestWord) {
+  if (path.starts_with(kNotesPath) && path.size() - kNotesPath.size() <= kMaxIdBytes) {
     if (message.method != "GET") return ConsoleError{405, "this path takes GET", "GET"};
-    return FleetNoteRequest{std::string(path.substr(kNotes.size()))};
+    return FleetNoteRequest{std::string(path.substr(kNotesPath.size()))};
   }
   return ConsoleError{404, "no such path", ""};
 }
 
 std::string OrderRequest(const FleetOrder& order) {
-  return WriteRequest("PUT", std::string(kOrders) + order.duty,
+  return WriteRequest("PUT", std::string(kOrdersPath) + order.duty,
                       {{"Host", "sidecar"},
                        {"Connection", "close"},
                        {kApplicationHeader, order.application},
@@ -125,26 +125,26 @@
 std::string FleetRequest() { return EndpointRequest(ConsoleEndpoint::kFleet); }
 
 std::string EndProcessRequest(const std::string& life) {
-  return WriteRequest("PUT", std::string(kEnd),
+  return WriteRequest("PUT", std::string(kEndPath),
                       {{"Host", "sidecar"}, {"Connection", "close"}, {kLifeHeader, life}}, "");
 }
 
-std::string EndpointRequest(ConsoleEndpoint call) {
-  const auto known =
-      std::find_if(kPaths.begin(), kPaths.end(), [&](const Path& p) { return p.call == call; });
-  return WriteRequest(std::string(known->method), std::string(known->path),
+std::string EndpointRequest(ConsoleEndpoint id) {
+  const auto endpoint =
+      std::find_if(kEndpoints.begin(), kEndpoints.end(), [&](const Endpoint& e) { return e.id == id; });
+  return WriteRequest(std::string(endpoint->method), std::string(endpoint->path),
                       {{"Host", "sidecar"}, {"Connection", "close"}}, "");
 }
 
-std::string FormatSlower(const ConsoleMetrics& figures) {
+std::string FormatSlower(const ConsoleMetrics& metrics) {
   std::string out = "slower=";
-  for (size_t i = 0; i < figures.slower.size(); ++i)
-    out += (i == 0 ? "" : ",") + std::to_string(figures.slower[i]);
+  for (size_t i = 0; i < metrics.slower.size(); ++i)
+    out += (i == 0 ? "" : ",") + std::to_string(metrics.slower[i]);
   return out + "\n";
 }
 
-ConsoleError ConsoleErrorFor(ParseResult why) {
-  switch (why) {
+ConsoleError ConsoleErrorFor(ParseResult result) {
+  switch (result) {
     case ParseResult::kHeadTooLong:
       return {431, "the headers are too long", ""};
     case ParseResult::kBodyTooLong:
@@ -156,18 +156,18 @@
   }
 }
 
-std::string FormatMetrics(const ConsoleMetrics& figures) {
+std::string FormatMetrics(const ConsoleMetrics& metrics) {
   std::string out;
-  for (const ConsoleMetrics::PerClass& c : figures.classes) {
+  for (const ConsoleMetrics::PerClass& c : metrics.classes) {
     const std::string name = EscapeMetricName(c.name);
-    Line("success." + name, c.success, &out);
-    Line("overload." + name, c.overload, &out);
-    Line("error." + name, c.error, &out);
+    AppendMetric("success." + name, c.success, &out);
+    AppendMetric("overload." + name, c.overload, &out);
+    AppendMetric("error." + name, c.error, &out);
   }
-  Line("dispatches", figures.dispatches, &out);
-  Line("concurrent", figures.concurrent, &out);
-  Line("targets", figures.targets, &out);
-  Line("targets_disabled", figures.targets_disabled, &out);
+  AppendMetric("dispatches", metrics.dispatches, &out);
+  AppendMetric("concurrent", metrics.concurrent, &out);
+  AppendMetric("targets", metrics.targets, &out);
+  AppendMetric("targets_disabled", metrics.targets_disabled, &out);
   return out;
 }
 
@@ -175,10 +175,10 @@
   return WriteResponse(status, {{"Content-Type", "text/plain"}}, body, false);
 }
 
-std::string ConsoleErrorResponse(const ConsoleError& no_call) {
+std::string ConsoleErrorResponse(const ConsoleError& error) {
   std::vector<Header> headers = {{"Content-Type", "text/plain"}};
-  if (!no_call.allowed.empty()) headers.push_back({"Allow", no_call.allowed});
-  return WriteResponse(no_call.status, headers, no_call.why + "\n", false);
+  if (!error.allowed_method.empty()) headers.push_back({"Allow", error.allowed_method});
+  return WriteResponse(error.status, headers, error.reason + "\n", false);
 }
 
 }  // namespace umberdyke::net
--- a/src/platform/console_calls.h
+++ b/src/platform/console_calls.h
@@ -1,4 +1,4 @@
-// The second address's contract: its calls, their answers and the form of the figures.
+// The second address's contract: its calls, their answers and the form of the metrics.
 #ifndef UMBERDYKE_PLATFORM_CONSOLE_CALLS_H_
 #define UMBERDYKE_PLATFORM_CONSOLE_CALLS_H_
 
@@ -33,17 +33,17 @@
   std::string life;
 };
 
-// A call that is none: the status says why. `allowed` names the method of a path that exists.
+// A call that is none: the status says why. `allowed_method` names the method of a path that exists.
 struct ConsoleError {
   int status;
-  std::string why;
-  std::string allowed;
+  std::string reason;
+  std::string allowed_method;
 };
 
 using ConsoleRequest = std::variant<ConsoleEndpoint, FleetOrder, FleetNoteRequest, EndProcess, ConsoleError>;
 // An order whose term, step or life is missing or is no plain positive number is a ConsoleError.
 ConsoleRequest ParseConsoleRequest(const Message& message);
-ConsoleError ConsoleErrorFor(ParseResult why);
+ConsoleError ConsoleErrorFor(ParseResult result);
 
 // What operators are told; counted from the process's start.
 struct ConsoleMetrics {
@@ -63,9 +63,9 @@
 };
 
 // A line each, "name=count". A class's name is written so that it can break neither line nor name.
-std::string FormatMetrics(const ConsoleMetrics& figures);
+std::string FormatMetrics(const ConsoleMetrics& metrics);
 // "slower=12,9,4,...".
-std::string FormatSlower(const ConsoleMetrics& figures);
+std::string FormatSlower(const ConsoleMetrics& metrics);
 
 // The name of a line, written so that it can break neither line nor name.
 std::string EscapeMetricName(std::string_view name);
@@ -74,11 +74,11 @@
 std::string OrderRequest(const FleetOrder& order);
 std::string FleetRequest();
 std::string EndProcessRequest(const std::string& life);
-std::string EndpointRequest(ConsoleEndpoint call);
+std::string EndpointRequest(ConsoleEndpoint id);
 
 // Always the connection's last: it holds one call.
 std::string ConsoleResponse(int status, const std::string& body);
-std::string ConsoleErrorResponse(const ConsoleError& no_call);
+std::string ConsoleErrorResponse(const ConsoleError& error);
 
 }  // namespace umberdyke::net
 
--- a/src/platform/list_cutter.cpp
+++ b/src/platform/list_cutter.cpp
@@ -5,25 +5,25 @@
 namespace umberdyke::net {
 namespace {
 
-bool Blank(std::string_view text) { return text.find_first_not_of(" \t\r") == std::string_view::npos; }
+bool IsBlank(std::string_view text) { return text.find_first_not_of(" \t\r") == std::string_view::npos; }
 
 }  // namespace
 
-bool ListCutter::Cut(const Item& item) {
-  const std::string whole = std::exchange(text_, {});
+bool ListCutter::EmitItem(const ItemCallback& on_item) {
+  const std::string text = std::exchange(text_, {});
   depth_ = 0;
   quoted_ = escaped_ = false;
-  return item(Blank(whole) ? std::string_view() : std::string_view(whole));
+  return on_item(IsBlank(text) ? std::string_view() : std::string_view(text));
 }
 
-void ListCutter::Feed(std::string_view bytes, const Item& item) {
+void ListCutter::Feed(std::string_view bytes, const ItemCallback& on_item) {
   for (const char c : bytes) {
     if (depth_ == 0) {
       if (c == '\n') {
-        if (!Cut(item)) return;
+        if (!EmitItem(on_item)) return;
         continue;
       }
-      if (c == '{' && !Blank(text_) && !Cut(item)) return;  // what stood before it is no part of it
+      if (c == '{' && !IsBlank(text_) && !EmitItem(on_item)) return;  // what stood before it is no part of it
       text_ += c;
       if (c == '{') depth_ = 1;
       continue;
@@ -39,7 +39,7 @@
     } else if (c == '{') {
       ++depth_;
     } else if (c == '}' && --depth_ == 0) {
-      if (!Cut(item)) return;
+      if (!EmitItem(on_item)) return;
     }
   }
 }
--- a/src/platform/list_cutter.h
+++ b/src/platform/list_cutter.h
@@ -12,13 +12,13 @@
 class ListCutter {
  public:
   // A whole object; a line that is none; or nothing but an empty line. False: hear no more of these bytes.
-  using Item = std::function<bool(std::string_view text)>;
+  using ItemCallback = std::function<bool(std::string_view text)>;
 
-  void Feed(std::string_view bytes, const Item& item);
+  void Feed(std::string_view bytes, const ItemCallback& on_item);
   size_t held() const { return text_.size(); }  // of what is not whole yet
 
  private:
-  bool Cut(const Item& item);
+  bool EmitItem(const ItemCallback& on_item);
 
   std::string text_;
   int depth_ = 0;  // of braces
--- a/src/platform/platform.cpp
+++ b/src/platform/platform.cpp
@@ -11,42 +11,42 @@
 
 using Json = nlohmann::json;
 
-constexpr const char* kId = "X-Request-ID";
-constexpr const char* kClass = "X-Priority-Class";
-constexpr const char* kTenant = "X-Tenant-Id";
-constexpr const char* kTime = "X-Timeout-Ms";
-constexpr const char* kRetried = "X-Retried";
-constexpr const char* kFigures = "X-Attrs";
-constexpr const char* kKey = "Idempotency-Key";
-constexpr const char* kLoad = "X-Server-Load";
-constexpr const char* kNotProcessed = "X-Not-Processed";
-constexpr std::string_view kApi = "/api";
-constexpr std::string_view kReady = "/-/ready";
-constexpr std::string_view kCounters = "/-/counters";
-constexpr std::int64_t kLongestWait = 3'600'000;  // an hour: beyond it a time is a mistake
-constexpr double kMostReported = 1e6;             // no real server holds or serves as many
-
-bool IsApi(std::string_view target) {
-  if (target.substr(0, kApi.size()) != kApi) return false;
-  return target.size() == kApi.size() || target[kApi.size()] == '/' || target[kApi.size()] == '?';
+constexpr const char* kRequestIdHeader = "X-Request-ID";
+constexpr const char* kClassHeader = "X-Priority-Class";
+constexpr const char* kTenantHeader = "X-Tenant-Id";
+constexpr const char* kTimeoutHeader = "X-Timeout-Ms";
+constexpr const char* kRetriedHeader = "X-Retried";
+constexpr const char* kAttributesHeader = "X-Attrs";
+constexpr const char* kIdempotencyKeyHeader = "Idempotency-Key";
+constexpr const char* kLoadHeader = "X-Server-Load";
+constexpr const char* kNotProcessedHeader = "X-Not-Processed";
+constexpr std::string_view kApiPath = "/api";
+constexpr std::string_view kReadyPath = "/-/ready";
+constexpr std::string_view kCountersPath = "/-/counters";
+constexpr std::int64_t kMaxTimeoutMs = 3'600'000;  // an hour: beyond it a time is a mistake
+constexpr double kMaxReportedLoad = 1e6;           // no real server holds or serves as many
+
+bool IsApiPath(std::string_view target) {
+  if (target.substr(0, kApiPath.size()) != kApiPath) return false;
+  return target.size() == kApiPath.size() || target[kApiPath.size()] == '/' || target[kApiPath.size()] == '?';
 }
 
-std::optional<std::int64_t> WholeNumber(std::string_view text) {
+std::optional<std::int64_t> ParseInteger(std::string_view text) {
   std::int64_t value = 0;
   const auto [end, error] = std::from_chars(text.data(), text.data() + text.size(), value);
   if (error != std::errc() || end != text.data() + text.size()) return std::nullopt;
   return value;
 }
 
-std::optional<int> NumberOf(const std::vector<std::string>& names, std::string_view name) {
+std::optional<int> IndexOfName(const std::vector<std::string>& names, std::string_view name) {
   const auto it = std::find(names.begin(), names.end(), name);
   if (it == names.end()) return std::nullopt;
   return static_cast<int>(it - names.begin());
 }
 
 // Drops the headers that the sender's Connection header names: they hold for that connection only.
-void DropNamedByConnection(Message* message) {
-  std::vector<std::string> named;
+void RemoveConnectionHeaders(Message* message) {
+  std::vector<std::string> names;
   for (const Header& header : message->headers) {
     if (!HeaderNamesEqual(header.name, "Connection")) continue;
     std::string_view rest = header.value;
@@ -55,109 +55,112 @@
       rest.remove_prefix(std::min(rest.size(), part.size() + 1));
       while (!part.empty() && (part.front() == ' ' || part.front() == '\t')) part.remove_prefix(1);
       while (!part.empty() && (part.back() == ' ' || part.back() == '\t')) part.remove_suffix(1);
-      named.emplace_back(part);
+      names.emplace_back(part);
     }
   }
   std::erase_if(message->headers, [&](const Header& header) {
-    return std::any_of(named.begin(), named.end(),
-                       [&](const auto& n) { return HeaderNamesEqual(n, header.name); });
+    return std::any_of(names.begin(), names.end(),
+                       [&](const auto& name) { return HeaderNamesEqual(name, header.name); });
   });
 }
 
-std::optional<std::chrono::microseconds> ExpectedWork(const std::string* figures) {
+std::optional<std::chrono::microseconds> ParseExpectedWork(const std::string* attributes) {
   static constexpr std::string_view kName = "expected_us=";
-  std::string_view rest = figures == nullptr ? std::string_view() : std::string_view(*figures);
+  std::string_view rest = attributes == nullptr ? std::string_view() : std::string_view(*attributes);
   while (!rest.empty()) {
     const std::string_view part = rest.substr(0, rest.find(','));
     rest.remove_prefix(std::min(rest.size(), part.size() + 1));
     if (part.substr(0, kName.size()) != kName) continue;
-    if (const auto value = WholeNumber(part.substr(kName.size()))) return std::chrono::microseconds(*value);
+    if (const auto value = ParseInteger(part.substr(kName.size()))) return std::chrono::microseconds(*value);
   }
   return std::nullopt;
 }
 
 // A zone or kind by its name; one that the settings do not name counts as one more, like none of theirs.
-int IndexOf(const Json& entry, const char* field, const std::vector<std::string>& names) {
+int IndexOrUnknown(const Json& entry, const char* field, const std::vector<std::string>& names) {
   const auto it = entry.find(field);
   if (it == entry.end() || !it->is_string()) return static_cast<int>(names.size());
-  return NumberOf(names, it->get_ref<const std::string&>()).value_or(static_cast<int>(names.size()));
+  return IndexOfName(names, it->get_ref<const std::string&>()).value_or(static_cast<int>(names.size()));
 }
 
-double NumberIn(const Json& entry, const char* field, double absent) {
+double NumberOr(const Json& entry, const char* field, double fallback) {
   const auto it = entry.find(field);
-  if (it == entry.end() || !it->is_number()) return absent;
+  if (it == entry.end() || !it->is_number()) return fallback;
   const double value = it->get<double>();
-  return std::isfinite(value) && std::abs(value) < 9e15 ? value : absent;
+  return std::isfinite(value) && std::abs(value) < 9e15 ? value : fallback;
 }
 
 // One line of a list; absent where it cannot be read.
-std::optional<ListedServer> ReadServer(const Json& entry, const Config& config) {
+std::optional<ListedServer> ParseServer(const Json& entry, const Config& config) {
   ListedServer server;
-  const bool named = entry.is_object() && entry.contains("id") && entry["id"].is_string();
-  const bool stated = named && entry.contains("state") && entry["state"].is_string();
-  const std::string state = stated ? entry["state"].get<std::string>() : "";
-  const bool placed = stated && entry.contains("addr") && entry["addr"].is_string();
-  const auto address = placed ? ParseAddress(entry["addr"].get_ref<const std::string&>()) : std::nullopt;
-  if (!stated || (!address && state != "gone")) return std::nullopt;
+  const bool has_id = entry.is_object() && entry.contains("id") && entry["id"].is_string();
+  const bool has_state = has_id && entry.contains("state") && entry["state"].is_string();
+  const std::string state = has_state ? entry["state"].get<std::string>() : "";
+  const bool has_address = has_state && entry.contains("addr") && entry["addr"].is_string();
+  const auto address = has_address ? ParseAddress(entry["addr"].get_ref<const std::string&>()) : std::nullopt;
+  if (!has_state || (!address && state != "gone")) return std::nullopt;
   server.id = entry["id"].get<std::string>();
   server.address = address.value_or(Address{});
   // What is neither ready nor gone may finish its work but gets nothing new.
   server.state = state == "ready"  ? UpstreamState::kReady
                  : state == "gone" ? UpstreamState::kGone
                                    : UpstreamState::kDraining;
-  const auto started = static_cast<std::int64_t>(NumberIn(entry, "started_ms", 0));
+  const auto started = static_cast<std::int64_t>(NumberOr(entry, "started_ms", 0));
   if (started > 0) server.started = std::chrono::milliseconds(started);
-  server.weight = NumberIn(entry, "weight", 1);
-  server.zone = IndexOf(entry, "zone", config.zone_names);
-  server.kind = IndexOf(entry, "kind", config.kind_names);
-  server.cell = static_cast<int>(NumberIn(entry, "cell", 0));
+  server.weight = NumberOr(entry, "weight", 1);
+  server.zone = IndexOrUnknown(entry, "zone", config.zone_names);
+  server.kind = IndexOrUnknown(entry, "kind", config.kind_names);
+  server.cell = static_cast<int>(NumberOr(entry, "cell", 0));
   return server;
 }
 
 }  // namespace
 
 std::variant<FlowRequest, BadRequest, Page> Platform::ParseRequest(Message message, bool long_body) const {
-  const std::string* name = message.Find(kClass);
-  const auto request_class = name ? NumberOf(config_.class_names, *name) : std::nullopt;
+  const std::string* name = message.Find(kClassHeader);
+  const auto request_class = name ? IndexOfName(config_.class_names, *name) : std::nullopt;
   auto read = ParseRequest(std::move(message), long_body, request_class);
-  if (auto* bad = std::get_if<BadRequest>(&read)) bad->request_class = request_class;
+  if (auto* error = std::get_if<BadRequest>(&read)) error->request_class = request_class;
   return read;
 }
 
 std::variant<FlowRequest, BadRequest, Page> Platform::ParseRequest(Message message, bool long_body,
                                                                    std::optional<int> request_class) const {
-  if (message.target == kReady || message.target == kCounters) {
+  if (message.target == kReadyPath || message.target == kCountersPath) {
     if (message.method != "GET") return BadRequest{400, "this page takes GET"};
-    return message.target == kReady ? Page::kReady : Page::kCounters;
+    return message.target == kReadyPath ? Page::kReady : Page::kCounters;
   }
   if (message.method == "CONNECT") return BadRequest{405, "this is no proxy"};
-  if (!IsApi(message.target)) return BadRequest{404, "no such path"};
-  DropNamedByConnection(&message);
+  if (!IsApiPath(message.target)) return BadRequest{404, "no such path"};
+  RemoveConnectionHeaders(&message);
   // Told twice, a real server might read the other one.
-  for (const char* once : {kId, kClass, kTenant, kTime, kKey}) {
-    const auto same = [once](const Header& header) { return HeaderNamesEqual(header.name, once); };
-    if (std::count_if(message.headers.begin(), message.headers.end(), same) > 1) {
-      return BadRequest{400, std::string(once) + " comes more than once"};
+  for (const char* header_name :
+       {kRequestIdHeader, kClassHeader, kTenantHeader, kTimeoutHeader, kIdempotencyKeyHeader}) {
+    const auto matches = [header_name](const Header& header) {
+      return HeaderNamesEqual(header.name, header_name);
+    };
+    if (std::count_if(message.headers.begin(), message.headers.end(), matches) > 1) {
+      return BadRequest{400, std::string(header_name) + " comes more than once"};
     }
   }
   FlowRequest request;
-  const std::string* id = message.Find(kId);
-  if (id == nullptr || id->empty()) return BadRequest{400, std::string(kId) + " is missing"};
+  const std::string* id = message.Find(kRequestIdHeader);
+  if (id == nullptr || id->empty()) return BadRequest{400, std::string(kRequestIdHeader) + " is missing"};
   request.id = *id;
-  if (!request_class) return BadRequest{400, std::string(kClass) + " is missing or unknown"};
+  if (!request_class) return BadRequest{400, std::string(kClassHeader) + " is missing or unknown"};
   request.request_class = *request_class;
   if (!config_.tenant_names.empty()) {
-    const std::string* tenant_name = message.Find(kTenant);
-    const auto tenant = tenant_name ? NumberOf(config_.tenant_names, *tenant_name) : std::nullopt;
-    if (!tenant) return BadRequest{400, std::string(kTenant) + " is missing or unknown"};
+    const std::string* tenant_name = message.Find(kTenantHeader);
+    const auto tenant = tenant_name ? IndexOfName(config_.tenant_names, *tenant_name) : std::nullopt;
+    if (!tenant) return BadRequest{400, std::string(kTenantHeader) + " is missing or unknown"};
     request.tenant = *tenant;
   }
-  const std::string* time = message.Find(kTime);
-  const auto left = time ? WholeNumber(*time) : std::nullopt;
-  if (!left || *left < 0 || *left > kLongestWait) {
-    return BadRequest{400, std::string(kTime) + " is missing or no time"};
+  const std::string* time = message.Find(kTimeoutHeader);
+  const auto timeout_ms = time ? ParseInteger(*time) : std::nullopt;
+  if (!timeout_ms || *timeout_ms < 0 || *timeout_ms > kMaxTimeoutMs) {
+    return BadRequest{400, std::string(kTimeoutHeader) + " is missing or no time"};
   }
-  request.time_left = std::chrono::milliseconds(*left);
+  request.time_left = std::chrono::milliseconds(*timeout_ms);
   const Repeat repeat = config_.settings.classes[static_cast<size_t>(request.request_class)].repeat;
   if (message.method != (repeat == Repeat::kSafe ? "GET" : "POST")) {
     return BadRequest{400, "the class does not take this method"};
@@ -165,23 +168,25 @@
   if (message.method == "GET" && (long_body || !message.body.empty())) {
     return BadRequest{400, "a request that is safe to repeat has no body"};
   }
-  if (repeat == Repeat::kKeyed && (message.Find(kKey) == nullptr || message.Find(kKey)->empty())) {
-    return BadRequest{400, std::string(kKey) + " is missing"};
+  if (repeat == Repeat::kKeyed &&
+      (message.Find(kIdempotencyKeyHeader) == nullptr || message.Find(kIdempotencyKeyHeader)->empty())) {
+    return BadRequest{400, std::string(kIdempotencyKeyHeader) + " is missing"};
   }
-  const std::string* retried = message.Find(kRetried);
+  const std::string* retried = message.Find(kRetriedHeader);
   request.client_retry = retried != nullptr && *retried == "1";
-  request.expected_work = ExpectedWork(message.Find(kFigures));
+  request.expected_work = ParseExpectedWork(message.Find(kAttributesHeader));
   request.streaming_body = long_body;
   request.message = std::move(message);
   return request;
 }
 
-std::string Platform::BuildRequest(const FlowRequest& request, std::chrono::milliseconds wait) const {
+std::string Platform::BuildRequest(const FlowRequest& request, std::chrono::milliseconds timeout) const {
   std::vector<Header> headers;
   for (const Header& header : request.message.headers) {
-    if (!IsHopByHopHeader(header.name) && !HeaderNamesEqual(header.name, kTime)) headers.push_back(header);
+    if (!IsHopByHopHeader(header.name) && !HeaderNamesEqual(header.name, kTimeoutHeader))
+      headers.push_back(header);
   }
-  headers.push_back({kTime, std::to_string(wait.count())});
+  headers.push_back({kTimeoutHeader, std::to_string(timeout.count())});
   const Message& message = request.message;
   if (request.streaming_body) {
     return WriteRequestHead(message.method, message.target, headers, FramingOf(message, true));
@@ -189,35 +194,36 @@
   return WriteRequest(message.method, message.target, headers, message.body);
 }
 
-Outcome Platform::OutcomeOf(const Message& answer) {
-  if (answer.status == 200) return Outcome::kOk;
-  const std::string* mark = answer.Find(kNotProcessed);
-  const bool never_ran = mark != nullptr && *mark == "1" && (answer.status == 503 || answer.status == 504);
-  if (never_ran) return Outcome::kRejected;
+Outcome Platform::OutcomeOf(const Message& response) {
+  if (response.status == 200) return Outcome::kOk;
+  const std::string* mark = response.Find(kNotProcessedHeader);
+  const bool not_processed =
+      mark != nullptr && *mark == "1" && (response.status == 503 || response.status == 504);
+  if (not_processed) return Outcome::kRejected;
   // Too early, too slow or too many is said of the moment, not of the request.
-  const bool of_the_moment = answer.status == 408 || answer.status == 425 || answer.status == 429;
-  return answer.status / 100 == 4 && !of_the_moment ? Outcome::kUnfit : Outcome::kError;
+  const bool temporary = response.status == 408 || response.status == 425 || response.status == 429;
+  return response.status / 100 == 4 && !temporary ? Outcome::kUnfit : Outcome::kError;
 }
 
-std::optional<LoadReport> Platform::ParseLoadReport(const Message& answer) const {
-  const std::string* load = answer.Find(kLoad);
-  return load == nullptr ? std::nullopt : ReadReport(*load);
+std::optional<LoadReport> Platform::ParseLoadReport(const Message& response) const {
+  const std::string* load = response.Find(kLoadHeader);
+  return load == nullptr ? std::nullopt : ParseLoadReportJson(*load);
 }
 
-std::optional<LoadReport> Platform::ParseCheckLoadReport(const Message& answer) const {
-  const std::optional<LoadReport> report = ParseLoadReport(answer);
-  return report || answer.body.empty() ? report : ReadReport(answer.body);
+std::optional<LoadReport> Platform::ParseCheckLoadReport(const Message& response) const {
+  const std::optional<LoadReport> report = ParseLoadReport(response);
+  return report || response.body.empty() ? report : ParseLoadReportJson(response.body);
 }
 
-std::optional<LoadReport> Platform::ReadReport(std::string_view text) const {
+std::optional<LoadReport> Platform::ParseLoadReportJson(std::string_view text) const {
   if (config_.report_columns.empty()) return std::nullopt;
   const Json json = Json::parse(text, nullptr, false);
   if (!json.is_object()) return std::nullopt;
   // One column that is missing or makes no sense spoils the others: averages forget nonsense only slowly.
   LoadReport report;
   for (const std::string& column : config_.report_columns) {
-    const double value = NumberIn(json, column.c_str(), -1);
-    if (value < 0 || value > kMostReported) return std::nullopt;
+    const double value = NumberOr(json, column.c_str(), -1);
+    if (value < 0 || value > kMaxReportedLoad) return std::nullopt;
     SetReported(column, value, &report);
   }
   return report;
@@ -229,10 +235,11 @@
 
 namespace {
 
-std::vector<Header> PassedOn(const Message& answer) {
+std::vector<Header> ForwardedHeaders(const Message& response) {
   std::vector<Header> headers;
-  for (const Header& header : answer.headers) {
-    if (!IsHopByHopHeader(header.name) && !HeaderNamesEqual(header.name, kLoad)) headers.push_back(header);
+  for (const Header& header : response.headers) {
+    if (!IsHopByHopHeader(header.name) && !HeaderNamesEqual(header.name, kLoadHeader))
+      headers.push_back(header);
   }
   return headers;
 }
@@ -240,11 +247,11 @@
 }  // namespace
 
 std::string Platform::SuccessHead(const Message& head, const Framing& framing, bool keep_alive) const {
-  return WriteResponseHead(200, PassedOn(head), framing, keep_alive);
+  return WriteResponseHead(200, ForwardedHeaders(head), framing, keep_alive);
 }
 
-std::string Platform::SuccessResponse(const Message& answer, bool keep_alive) const {
-  return WriteResponse(200, PassedOn(answer), answer.body, keep_alive);
+std::string Platform::SuccessResponse(const Message& response, bool keep_alive) const {
+  return WriteResponse(200, ForwardedHeaders(response), response.body, keep_alive);
 }
 
 std::string Platform::RejectionResponse(std::chrono::microseconds retry_after, bool keep_alive) {
@@ -265,8 +272,8 @@
   return WriteResponse(status, {}, "no real server takes this request\n", keep_alive);
 }
 
-std::string Platform::BadRequestResponse(const BadRequest& bad) {
-  return WriteResponse(bad.status, {}, bad.why + "\n", bad.status == 404);
+std::string Platform::BadRequestResponse(const BadRequest& error) {
+  return WriteResponse(error.status, {}, error.reason + "\n", error.status == 404);
 }
 
 std::string Platform::PageResponse(int status, std::string_view body, bool keep_alive) {
@@ -285,10 +292,10 @@
   const Json json = Json::parse(line, nullptr, false);
   if (!json.is_object() || !json.contains("servers") || !json["servers"].is_array()) return std::nullopt;
   ServerListChange change;
-  change.version = static_cast<std::int64_t>(NumberIn(json, "version", 0));
+  change.version = static_cast<std::int64_t>(NumberOr(json, "version", 0));
   change.full = json.contains("full") && json["full"].is_boolean() && json["full"].get<bool>();
   for (const Json& entry : json["servers"]) {
-    if (auto server = ReadServer(entry, config_)) {
+    if (auto server = ParseServer(entry, config_)) {
       change.servers.push_back(std::move(*server));
     } else {
       ++change.unreadable;
@@ -297,12 +304,13 @@
   return change;
 }
 
-std::optional<ListedServer> Platform::ParseMember(std::string_view text, const std::string& usual_id) const {
+std::optional<ListedServer> Platform::ParseMember(std::string_view text,
+                                                  const std::string& default_id) const {
   Json json = Json::parse(text, nullptr, false);
   if (!json.is_object()) return std::nullopt;
-  if (!json.contains("id")) json["id"] = usual_id;
+  if (!json.contains("id")) json["id"] = default_id;
   if (!json.contains("state")) json["state"] = "ready";
-  auto server = ReadServer(json, config_);
+  auto server = ParseServer(json, config_);
   // A node that is there tells of a server that is there.
   if (!server || server->id.empty() || server->state == UpstreamState::kGone) return std::nullopt;
   return server;
--- a/src/platform/platform.h
+++ b/src/platform/platform.h
@@ -31,7 +31,7 @@
 // A request that cannot be taken: answered at once and never passed on.
 struct BadRequest {
   int status;
-  std::string why;
+  std::string reason;
   std::optional<int> request_class{};  // where it names one
 };
 
@@ -63,36 +63,36 @@
   // `long_body`: the message is a head, whose body follows.
   std::variant<FlowRequest, BadRequest, Page> ParseRequest(Message message, bool long_body = false) const;
   // The request as it goes out: whole, or its head where the body follows.
-  std::string BuildRequest(const FlowRequest& request, std::chrono::milliseconds wait) const;
-  // What an answer means; 200 counts only whole, which the reader sees to.
-  static Outcome OutcomeOf(const Message& answer);
-  std::optional<LoadReport> ParseLoadReport(const Message& answer) const;
+  std::string BuildRequest(const FlowRequest& request, std::chrono::milliseconds timeout) const;
+  // What a response means; 200 counts only whole, which the reader sees to.
+  static Outcome OutcomeOf(const Message& response);
+  std::optional<LoadReport> ParseLoadReport(const Message& response) const;
 
   // How the body of a message goes on: by its length, or in chunks where the receiver takes them.
   static Framing FramingOf(const Message& message, bool accepts_chunked);
   std::string SuccessHead(const Message& head, const Framing& framing, bool keep_alive) const;
-  std::string SuccessResponse(const Message& answer, bool keep_alive) const;
+  std::string SuccessResponse(const Message& response, bool keep_alive) const;
   static std::string RejectionResponse(std::chrono::microseconds retry_after, bool keep_alive);
   static std::string FailureResponse(bool in_time, bool keep_alive);
   static std::string UnfitResponse(int status, bool keep_alive);
-  static std::string BadRequestResponse(const BadRequest& bad);
+  static std::string BadRequestResponse(const BadRequest& error);
   static std::string PageResponse(int status, std::string_view body, bool keep_alive);
 
   static std::string WatchRequest(std::int64_t version, const std::string& host);
   std::string HealthCheckRequest(const std::string& host) const;
-  std::optional<LoadReport> ParseCheckLoadReport(const Message& answer) const;
+  std::optional<LoadReport> ParseCheckLoadReport(const Message& response) const;
   // One object of the list or of a watch; absent where it cannot be read at all.
   std::optional<ServerListChange> ParseServerList(std::string_view line) const;
-  // One server as it tells of itself in a node's data: an object as in the list, in which the id may be left
-  // out.
-  std::optional<ListedServer> ParseMember(std::string_view json, const std::string& usual_id) const;
+  // One server as it tells of itself in a node's data: an object as in the list, in which the id may be
+  // left out.
+  std::optional<ListedServer> ParseMember(std::string_view json, const std::string& default_id) const;
   // And what a sidecar tells of itself.
   static std::string FormatMember(const Config& config);
 
  private:
   std::variant<FlowRequest, BadRequest, Page> ParseRequest(Message message, bool long_body,
                                                            std::optional<int> request_class) const;
-  std::optional<LoadReport> ReadReport(std::string_view json) const;
+  std::optional<LoadReport> ParseLoadReportJson(std::string_view json) const;
 
   const Config& config_;
 };
