--- a/src/platform/console_calls.cpp
+++ b/src/platform/console_calls.cpp
@@ -29,7 +29,7 @@
 constexpr const char* kStepHeader = "X-Fleet-Step";
 constexpr size_t kMaxIdBytes = 128;
 
-// A number above zero in plain digits: no sign, blank, point or leading zero.
+// Parses a positive decimal integer without sign, blanks or leading zeros.
 std::optional<std::int64_t> ParsePositive(const std::string* text) {
   std::int64_t number = 0;
   if (text == nullptr || text->empty() || (*text)[0] < '1' || (*text)[0] > '9') return std::nullopt;
--- a/src/platform/console_calls.h
+++ b/src/platform/console_calls.h
@@ -1,4 +1,5 @@
-// The second address's contract: its calls, their answers and the form of the metrics.
+// The protocol of the console, the sidecar's second listen address for operators and agents: its requests,
+// its responses and the format of its metrics.
 #ifndef UMBERDYKE_PLATFORM_CONSOLE_CALLS_H_
 #define UMBERDYKE_PLATFORM_CONSOLE_CALLS_H_
 
@@ -15,25 +16,25 @@
 
 enum class ConsoleEndpoint { kReady, kMetrics, kDrain, kActivate, kFleet };
 
-// What an owner of a fleet-wide duty wants this sidecar to take, numbered so that it is taken once
-// (owner/fence.h).
+// An order from the leader of a fleet-wide duty. (term, step) is its fencing token, so that it takes effect
+// only once (owner/fence.h). `life` is the id of the sidecar process that the order is for.
 struct FleetOrder {
   std::string duty, application, life;
   std::int64_t term = 0;
   std::int64_t step = 0;
   std::string text;
 };
-// The note that the latest order of a duty left here.
+// Asks for the text of the last accepted order of a duty.
 struct FleetNoteRequest {
   std::string duty;
 };
 constexpr size_t kMaxNoteBytes = 16 * 1024;
-// The process of that life is to end, as SIGTERM has it.
+// Ends the process whose id is `life`, as SIGTERM does.
 struct EndProcess {
   std::string life;
 };
 
-// A call that is none: the status says why. `allowed_method` names the method of a path that exists.
+// An invalid request. `allowed_method` is set where the path exists but the method is wrong.
 struct ConsoleError {
   int status;
   std::string reason;
@@ -41,11 +42,12 @@
 };
 
 using ConsoleRequest = std::variant<ConsoleEndpoint, FleetOrder, FleetNoteRequest, EndProcess, ConsoleError>;
-// An order whose term, step or life is missing or is no plain positive number is a ConsoleError.
+// An order without application or life, or whose term or step is not a positive integer, is a ConsoleError.
 ConsoleRequest ParseConsoleRequest(const Message& message);
+// The error for a request that HttpParser rejects; kIncomplete means that it timed out.
 ConsoleError ConsoleErrorFor(ParseResult result);
 
-// What operators are told; counted from the process's start.
+// Metrics for operators, counted since the process started.
 struct ConsoleMetrics {
   struct PerClass {
     std::string name;
@@ -54,29 +56,30 @@
     std::uint64_t error = 0;
   };
   std::vector<PerClass> classes;
-  std::uint64_t dispatches = 0;  // attempts written whole to real servers
-  std::uint64_t concurrent = 0;  // requests taken and not ended
-  std::uint64_t targets = 0;     // listed servers
+  std::uint64_t dispatches = 0;  // attempts whose request was completely written to a real server
+  std::uint64_t concurrent = 0;  // requests in progress
+  std::uint64_t targets = 0;     // servers in the list
   std::uint64_t targets_disabled = 0;
-  // Answers of servers that took at least 1, 2, 4, ... ms from the request's taking in; for the agents alone.
+  // Latency histogram for the agents: slower[i] counts real server responses that took at least 2^i ms since
+  // the request was accepted.
   std::array<std::uint64_t, 16> slower{};
 };
 
-// A line each, "name=count". A class's name is written so that it can break neither line nor name.
+// One "name=count" line for each metric, with class names escaped.
 std::string FormatMetrics(const ConsoleMetrics& metrics);
-// "slower=12,9,4,...".
+// Returns "slower=12,9,4,..." and a newline.
 std::string FormatSlower(const ConsoleMetrics& metrics);
 
-// The name of a line, written so that it can break neither line nor name.
+// Percent-encodes the characters that would break a line or its name.
 std::string EscapeMetricName(std::string_view name);
 
-// An order as an agent sends it, and the names of its answer.
+// Serialized requests of the agents.
 std::string OrderRequest(const FleetOrder& order);
 std::string FleetRequest();
 std::string EndProcessRequest(const std::string& life);
 std::string EndpointRequest(ConsoleEndpoint id);
 
-// Always the connection's last: it holds one call.
+// Both close the connection, which serves only one request.
 std::string ConsoleResponse(int status, const std::string& body);
 std::string ConsoleErrorResponse(const ConsoleError& error);
 
--- a/src/platform/list_cutter.cpp
+++ b/src/platform/list_cutter.cpp
@@ -23,7 +23,8 @@
         if (!EmitItem(on_item)) return;
         continue;
       }
-      if (c == '{' && !IsBlank(text_) && !EmitItem(on_item)) return;  // what stood before it is no part of it
+      // Text before the object is an item of its own.
+      if (c == '{' && !IsBlank(text_) && !EmitItem(on_item)) return;
       text_ += c;
       if (c == '{') depth_ = 1;
       continue;
--- a/src/platform/platform.cpp
+++ b/src/platform/platform.cpp
@@ -23,8 +23,8 @@
 constexpr std::string_view kApiPath = "/api";
 constexpr std::string_view kReadyPath = "/-/ready";
 constexpr std::string_view kCountersPath = "/-/counters";
-constexpr std::int64_t kMaxTimeoutMs = 3'600'000;  // an hour: beyond it a time is a mistake
-constexpr double kMaxReportedLoad = 1e6;           // no real server holds or serves as many
+constexpr std::int64_t kMaxTimeoutMs = 3'600'000;  // one hour; a longer timeout is a client error
+constexpr double kMaxReportedLoad = 1e6;           // no real server holds or serves as many requests
 
 bool IsApiPath(std::string_view target) {
   if (target.substr(0, kApiPath.size()) != kApiPath) return false;
@@ -44,7 +44,7 @@
   return static_cast<int>(it - names.begin());
 }
 
-// Drops the headers that the sender's Connection header names: they hold for that connection only.
+// Removes the headers named by the Connection header; they are valid for that connection only.
 void RemoveConnectionHeaders(Message* message) {
   std::vector<std::string> names;
   for (const Header& header : message->headers) {
@@ -76,7 +76,7 @@
   return std::nullopt;
 }
 
-// A zone or kind by its name; one that the settings do not name counts as one more, like none of theirs.
+// Index of a zone or kind in the configured names. Unknown names get the index after the last one.
 int IndexOrUnknown(const Json& entry, const char* field, const std::vector<std::string>& names) {
   const auto it = entry.find(field);
   if (it == entry.end() || !it->is_string()) return static_cast<int>(names.size());
@@ -90,7 +90,7 @@
   return std::isfinite(value) && std::abs(value) < 9e15 ? value : fallback;
 }
 
-// One line of a list; absent where it cannot be read.
+// Parses one server entry; nothing if it is malformed.
 std::optional<ListedServer> ParseServer(const Json& entry, const Config& config) {
   ListedServer server;
   const bool has_id = entry.is_object() && entry.contains("id") && entry["id"].is_string();
@@ -101,7 +101,7 @@
   if (!has_state || (!address && state != "gone")) return std::nullopt;
   server.id = entry["id"].get<std::string>();
   server.address = address.value_or(Address{});
-  // What is neither ready nor gone may finish its work but gets nothing new.
+  // A server in any other state finishes its requests but gets no new ones.
   server.state = state == "ready"  ? UpstreamState::kReady
                  : state == "gone" ? UpstreamState::kGone
                                    : UpstreamState::kDraining;
@@ -133,7 +133,7 @@
   if (message.method == "CONNECT") return BadRequest{405, "this is no proxy"};
   if (!IsApiPath(message.target)) return BadRequest{404, "no such path"};
   RemoveConnectionHeaders(&message);
-  // Told twice, a real server might read the other one.
+  // With a duplicate header, a real server might use the other value.
   for (const char* header_name :
        {kRequestIdHeader, kClassHeader, kTenantHeader, kTimeoutHeader, kIdempotencyKeyHeader}) {
     const auto matches = [header_name](const Header& header) {
@@ -200,7 +200,7 @@
   const bool not_processed =
       mark != nullptr && *mark == "1" && (response.status == 503 || response.status == 504);
   if (not_processed) return Outcome::kRejected;
-  // Too early, too slow or too many is said of the moment, not of the request.
+  // 408, 425 and 429 depend on the moment, not on the request itself.
   const bool temporary = response.status == 408 || response.status == 425 || response.status == 429;
   return response.status / 100 == 4 && !temporary ? Outcome::kUnfit : Outcome::kError;
 }
@@ -219,7 +219,8 @@
   if (config_.report_columns.empty()) return std::nullopt;
   const Json json = Json::parse(text, nullptr, false);
   if (!json.is_object()) return std::nullopt;
-  // One column that is missing or makes no sense spoils the others: averages forget nonsense only slowly.
+  // A missing or invalid column rejects the whole report, because moving averages recover slowly from bad
+  // values.
   LoadReport report;
   for (const std::string& column : config_.report_columns) {
     const double value = NumberOr(json, column.c_str(), -1);
@@ -311,7 +312,7 @@
   if (!json.contains("id")) json["id"] = default_id;
   if (!json.contains("state")) json["state"] = "ready";
   auto server = ParseServer(json, config_);
-  // A node that is there tells of a server that is there.
+  // An existing node can only describe an existing server.
   if (!server || server->id.empty() || server->state == UpstreamState::kGone) return std::nullopt;
   return server;
 }
--- a/src/platform/server_pages.h
+++ b/src/platform/server_pages.h
@@ -1,5 +1,5 @@
-// What the platform's servers tell of themselves to whoever runs them: their node's data and their load.
-// Parsers and texts alone, like the rest of this room.
+// Formats in which the platform's servers publish their state: the data of their membership node and their
+// load page. Only parsers and serializers, no I/O.
 #ifndef UMBERDYKE_PLATFORM_SERVER_PAGES_H_
 #define UMBERDYKE_PLATFORM_SERVER_PAGES_H_
 
@@ -10,19 +10,21 @@
 
 namespace umberdyke::net {
 
-// From when a server's leaving was told until nothing new may come to it.
+// Time from announcing that a server drains until it can get no new requests.
 constexpr std::chrono::milliseconds kServerDrainTime{300};
 
 struct ServerNode {
   std::string address;
   bool draining = false;
 };
+// Returns nothing if the data is malformed.
 std::optional<ServerNode> ParseServerNode(std::string_view json);
-// The same data with the state draining, or ready; absent where it is no such data.
+// Returns the same data with the state set to draining or ready; nothing if the data is malformed.
 std::optional<std::string> WithState(std::string_view json, bool draining);
 
+// Requests the load page of a server.
 std::string LoadRequest();
-// Nothing is worked on and nothing waits. What cannot be read is not idle.
+// True if the load page shows no requests in flight and none queued; false if it is malformed.
 bool ReportsIdle(std::string_view body);
 
 }  // namespace umberdyke::net
