--- a/src/decide/random.h
+++ b/src/decide/random.h
@@ -1,4 +1,4 @@
-// A seeded source of random numbers.
+// Seeded pseudo-random numbers, so that a run can be repeated.
 #ifndef UMBERDYKE_DECIDE_RANDOM_H_
 #define UMBERDYKE_DECIDE_RANDOM_H_
 
@@ -6,7 +6,8 @@
 
 namespace umberdyke {
 
-class Random {  // splitmix64: small, and the same everywhere
+// splitmix64: small state, and the same sequence on every platform.
+class Random {
  public:
   explicit Random(std::uint64_t seed) : state_(seed) {}
   std::uint64_t Next() {
@@ -15,7 +16,9 @@
     z = (z ^ (z >> 27)) * 0x94d049bb133111ebu;
     return z ^ (z >> 31);
   }
+  // Returns a number in [0, 1).
   double Unit() { return static_cast<double>(Next() >> 11) * 0x1.0p-53; }
+  // Returns a number in [0, n); n must be positive.
   int Below(int n) { return static_cast<int>(Next() % static_cast<std::uint64_t>(n)); }
 
  private:
--- a/src/decide/settings.cpp
+++ b/src/decide/settings.cpp
@@ -1,3 +1,4 @@
+// Checks each setting for a valid range.
 #include "decide/settings.h"
 
 #include <cmath>
@@ -7,7 +8,7 @@
 namespace umberdyke {
 
 void Require(bool ok, const char* setting) {
-  if (!ok) throw std::invalid_argument(std::string("setting makes no sense: ") + setting);
+  if (!ok) throw std::invalid_argument(std::string("invalid value for ") + setting);
 }
 
 void Validate(const Settings& s) {
--- a/src/decide/settings.h
+++ b/src/decide/settings.h
@@ -1,4 +1,4 @@
-// Whether settings make sense. No decision stands here.
+// Validation of the settings. The decisions are in choice.cpp.
 #ifndef UMBERDYKE_DECIDE_SETTINGS_H_
 #define UMBERDYKE_DECIDE_SETTINGS_H_
 
@@ -6,10 +6,10 @@
 
 namespace umberdyke {
 
-// Throws std::invalid_argument, naming the setting, unless it is ok.
+// Throws std::invalid_argument with `setting` in its message unless `ok`.
 void Require(bool ok, const char* setting);
 
-// Throws std::invalid_argument for the first setting that makes no sense.
+// Throws std::invalid_argument that names the first setting with an invalid value.
 void Validate(const Settings& settings);
 
 }  // namespace umberdyke
--- a/tests/drill/wire_test.cpp
+++ b/tests/drill/wire_test.cpp
@@ -130,8 +130,7 @@
 TEST(WireTest, InvalidSettingBailsOutWithItsName) {
   const Result result =
       RunHost("FRAME time_us=8\nCONFIGURE i=1 nonce64=1 request_classes.count=1 period_us=-5\nEOB\n");
-  EXPECT_NE(result.out.find("BAIL_OUT i=1 what=setting makes no sense: tick"), std::string::npos)
-      << result.out;
+  EXPECT_NE(result.out.find("BAIL_OUT i=1 what=invalid value for tick"), std::string::npos) << result.out;
 }
 
 TEST(WireTest, OptionalSettingsAreParsedAndDefaultToNoRule) {
