--- a/include/umberdyke/balancer.h
+++ b/include/umberdyke/balancer.h
@@ -1,8 +1,9 @@
-// The interface of umberdyke: what a balancer is told (settings, events) and what it asks for (actions).
+// Public interface of umberdyke: settings, events that the host reports, and actions that the balancer
+// requests.
 //
-// A Balancer is one caller's copy of the decisions. It has no clock, I/O, threads or globals: the time and
-// the seed come in by argument, and every call appends the actions to take, in order, to a vector of the
-// caller's. Times are microseconds on a clock of the caller's that only advances.
+// A Balancer makes the decisions of one caller. It has no clock, I/O, threads or global state. The host
+// passes the time and a seed, and each call appends the requested actions, in order, to the host's vector.
+// All times and durations are in microseconds, on a clock of the host that never goes back.
 #ifndef UMBERDYKE_BALANCER_H_
 #define UMBERDYKE_BALANCER_H_
 
@@ -16,63 +17,68 @@
 namespace umberdyke {
 
 using Micros = std::int64_t;
-using RequestId = std::uint64_t;
+using RequestId = std::uint64_t;   // chosen by the host; below 2^60, where timer tokens start
 using UpstreamId = std::uint32_t;  // chosen by the host; only compared for equality, never ordered
 
-// Whether a request may run more than once.
+// Whether a request may run more than once: always, if it carries an idempotency key, or never.
 enum class Repeat { kSafe, kKeyed, kUnsafe };
-// The upstreams that discard repeats of a keyed request.
+// The upstreams that share the record of idempotency keys, and so discard repeats of a keyed request: all of
+// them, those of the same zone, or those of the same cell.
 enum class Group { kAll, kZone, kCell };
 
 struct RequestClass {
   Repeat repeat = Repeat::kUnsafe;
-  Group group = Group::kAll;
-  Micros window = 0;       // kKeyed: how long repeats are discarded, from the first send that may have run
-  Micros aim = 0;          // answers within this time earn the full worth
-  Micros deadline = 0;     // what a client waits in all
-  double points = 1;       // worth of an answer
-  double aim_stretch = 0;  // the aim grows by this multiple of the request's own work
-  double late_share = 0;   // share of the worth that an answer past the aim still earns
-  bool stream = false;
+  Group group = Group::kAll;  // kKeyed only
+  Micros window = 0;  // kKeyed only: repeats are discarded for so long after the first send that may have run
+  Micros aim = 0;     // a response within this time earns the full worth
+  Micros deadline = 0;     // total time that a client waits
+  double points = 1;       // worth of a response, at least 0
+  double aim_stretch = 0;  // the aim grows by this multiple of the request's own work; 0: it is fixed
+  double late_share = 0;   // share of the worth that a response after the aim still earns
+  bool stream = false;     // the response is a stream: attempts are not timed out at the aim
 };
 
 struct Tenant {
-  double allowance_per_s = 0;  // requests a second within its share, over all balancers; 0: unlimited
+  double allowance_per_s = 0;  // requests per second within its share, over all instances; 0: unlimited
 };
 
+// Durations, shares and factors must be finite and at least 0, unless a comment gives another range.
 struct Settings {
-  std::vector<RequestClass> classes;
-  std::vector<Tenant> tenants;
-  int balancers = 1;     // instances of this tier, this one included
-  int tier = 0;          // the tier this instance sends to; 0 is the one that clients reach
-  int zone = 0;          // where this instance stands
-  int max_attempts = 1;  // for one request
-  bool parallel_attempts = false;
-  bool may_cancel = false;
-  double check_price = 0;       // taken off the result (1 at best) for each check a request
-  bool may_check = false;       // upstreams may be checked
-  bool must_ask = false;        // the list of upstreams comes only when asked for
-  bool passes_deadline = true;  // callers hand on the time they have left
-  double over_share_worth = 1;  // worth of a request beyond its tenant's share
-  Micros tick = 1000;           // least time between two events
-  Micros max_retry_after = 0;   // 0: clients take no advice on when to come back
-  Micros ask_every = 10'000'000;
-  Micros connection_idle = 0;    // connections close after this time without a call
-  double start_capacity = 1;     // a cold upstream can do this share of its work at least
-  Micros cold_time = 0;          // and is warm after this time at the latest
-  double fall_multiple = 0;      // it falls over when sent more than this multiple of what it can do
-  Micros fall_time = 0;          // for this long
-  Micros close_idle_within = 0;  // idle connections to a draining upstream close within this; 0: no such rule
-  bool only_draining_binds = false;  // one that is gone, or not listed, without draining may still be sent to
-  double tail_weight = 0;  // weight of the tail in the result: answers past the aim spoil it; 0: none
-  double tail_slack = 0;   // share of late answers that the tail tolerates
-};
-
-// What an upstream said of its load; absent where it does not report the figure.
+  std::vector<RequestClass> classes;  // at least one; Request::request_class is an index into it
+  std::vector<Tenant> tenants;        // Request::tenant is an index into it; may be empty
+  int balancers = 1;                  // instances of this tier, including this one; at least 1
+  int tier = 0;                       // tier that this instance sends to; 0 is the one that clients reach
+  int zone = 0;                       // zone of this instance
+  int max_attempts = 1;               // for one request; at least 1
+  bool parallel_attempts = false;     // one request may have several attempts in flight
+  bool may_cancel = false;            // the host carries out Cancel
+  double check_price = 0;             // cost per request of one Check, as a share of the best possible result
+  bool may_check = false;             // the host carries out Check
+  bool must_ask = false;              // the host delivers the list of upstreams only after Subscribe
+  bool passes_deadline = true;        // callers pass on the time that they have left
+  double over_share_worth = 1;        // factor on the worth of a request beyond its tenant's share
+  Micros tick = 1000;             // minimum time between two events, above 0; timers fire up to a tick late
+  Micros max_retry_after = 0;     // longest Refuse::retry_after; 0: clients take no advice
+  Micros ask_every = 10'000'000;  // longest interval between polls of the list, above 0
+  Micros connection_idle = 0;     // idle connections to upstreams close after this time; 0: no reuse assumed
+  double start_capacity = 1;      // share of its capacity that a cold upstream has at its start; 0 to 1
+  Micros cold_time = 0;           // an upstream is warm this long after its start at the latest; 0: at once
+  // A cold upstream fails if it is sent more than this multiple of its capacity; 0: cold ones are sent
+  // nothing.
+  double fall_multiple = 0;
+  Micros fall_time = 0;          // how long such a failure lasts
+  Micros close_idle_within = 0;  // for idle connections to a draining upstream; 0: no such rule
+  // An upstream that is gone or not listed, but did not drain, may still be sent to.
+  bool only_draining_binds = false;
+  double tail_weight = 0;  // weight of late responses (after the aim) in the result; 0: none
+  double tail_slack = 0;   // share of late responses that costs nothing
+};
+
+// Load that an upstream reported; a figure that it does not report is absent.
 struct LoadReport {
-  std::optional<double> in_flight;
-  std::optional<double> queue;
-  std::optional<double> utilization;
+  std::optional<double> in_flight;    // requests
+  std::optional<double> queue;        // requests; used if in_flight is absent
+  std::optional<double> utilization;  // share of capacity
   std::optional<double> latency_ms;
   std::optional<double> served_per_s;
   std::optional<double> errors_per_s;
@@ -83,82 +89,83 @@
 struct UpstreamEntry {
   UpstreamId id = 0;
   UpstreamState state = UpstreamState::kReady;
-  Micros ready_at = 0;  // its last start; 0: long ago
-  double weight = 1;    // for comparison with others' only
+  Micros ready_at = 0;  // time of its last start; 0: long ago
+  double weight = 1;    // relative to other upstreams
   int kind = 0;
   int zone = 0;
   int cell = 0;
 };
 
+// Changes only, the complete list, a complete list from a cache that may be outdated, or a failed poll.
 enum class ListUpdate { kChanges, kComplete, kCached, kFailed };
 
 struct Request {
   RequestId id = 0;
-  int request_class = 0;
-  Micros time_left = 0;
-  std::optional<Micros> expected_work;
-  int tenant = 0;
-  bool client_retry = false;
+  int request_class = 0;                // index into Settings::classes
+  Micros time_left = 0;                 // until the client gives up
+  std::optional<Micros> expected_work;  // for RequestClass::aim_stretch; absent: unknown
+  int tenant = 0;                       // index into Settings::tenants; any other value: no tenant
+  bool client_retry = false;            // the client has sent it before
 };
 
 enum class Outcome {
   kOk,
-  kError,
-  kRejected,
-  kTimeout,
-  kConnectFailed,
-  kReset,
-  kCancelled,
-  kNotSent,
-  kSpoilt,  // something came back, but no answer that can be read: it may have run
-  kUnfit,   // the upstream says that the request itself is at fault
+  kError,          // error response of the upstream
+  kRejected,       // the upstream rejected it without running it
+  kTimeout,        // no response in time; it may have run
+  kConnectFailed,  // never sent
+  kReset,          // the connection broke; it may have run
+  kCancelled,      // after Cancel; it may have run
+  kNotSent,        // the host did not send it
+  kSpoilt,         // malformed response; it may have run
+  kUnfit,          // the upstream reports that the request itself is invalid
 };
 
 struct AttemptEnd {
   RequestId request = 0;
-  int attempt = 0;
+  int attempt = 0;  // number of the Send for this request, from 0
   UpstreamId upstream = 0;
   Outcome outcome = Outcome::kOk;
-  Micros elapsed = 0;
-  bool settled = false;  // the request has its final answer
+  Micros elapsed = 0;    // since the send
+  bool settled = false;  // the request has its final response
   std::optional<LoadReport> report;
 };
 
-// Actions.
+// Actions that the host carries out.
 struct Send {
   RequestId request;
   UpstreamId upstream;
-  Micros time_out;  // 0: until the client gives up
-  // Later than this its last byte may not go out, however long its connection takes; 0: no such limit.
+  Micros time_out;  // from now; 0: until the client gives up
+  // The last byte must be sent within this time, even if the connection takes longer to open; 0: no limit.
   Micros send_within = 0;
 };
 struct Cancel {
   RequestId request;
-  int attempt;
+  int attempt;  // as in AttemptEnd
 };
-struct Refuse {
+struct Refuse {  // end the request with a rejection; a retry by the client is harmless
   RequestId request;
   Micros retry_after;  // 0: no advice
 };
-struct Fail {
+struct Fail {  // end the request with an error; a retry by the client may not be safe
   RequestId request;
 };
-struct SetTimer {
+struct SetTimer {  // call OnTimer with the token after the delay
   Micros delay;
   std::uint64_t token;
 };
-struct Subscribe {  // ask for the changes of the list from now on, or no longer
+struct Subscribe {  // start to deliver changes of the list, or stop
   bool on = true;
 };
-struct FetchList {};  // ask for the whole list once
-struct Check {
+struct FetchList {};  // deliver the complete list once
+struct Check {        // probe the upstream, then call OnCheck
   UpstreamId upstream;
 };
-struct CloseIdle {  // close idle connections
+struct CloseIdle {  // close idle connections to the upstream
   UpstreamId upstream;
 };
-struct TellPeers {
-  int peer;  // -1: all
+struct TellPeers {  // send the content to other instances
+  int peer;         // -1: all
   std::vector<std::uint8_t> content;
 };
 struct Log {
@@ -170,36 +177,39 @@
 
 class Balancer {
  public:
-  // Throws std::invalid_argument, naming the setting, where settings make no sense.
+  // Throws std::invalid_argument, which names the setting, if a setting is invalid.
   Balancer(const Settings& settings, std::uint64_t seed, Micros now, Actions* out);
   ~Balancer();
   Balancer(Balancer&&) noexcept;
   Balancer& operator=(Balancer&&) noexcept;
 
-  // An empty complete list leaves nobody to send to: requests wait for nearly half of their time, then are
-  // answered.
+  // After an empty complete list there is no upstream to send to: requests are queued for nearly half of
+  // their time and then refused or failed.
   void OnList(Micros now, ListUpdate kind, const std::vector<UpstreamEntry>& entries, Actions* out);
-  // No time left, or less than an answer takes: answered at once. An unknown class throws
-  // std::invalid_argument.
+  // Refuses or fails the request at once if its time left is shorter than a response takes. Throws
+  // std::invalid_argument for an unknown class.
   void OnRequest(Micros now, const Request& request, Actions* out);
-  // Unknown requests, attempts, upstreams and timers are disregarded, here and below.
+  // This and the calls below ignore unknown requests, attempts, upstreams and timers.
   void OnAttemptEnd(Micros now, const AttemptEnd& end, Actions* out);
-  // A long answer has begun to reach the client: it ends the request, but its end may be a while off.
+  // A streaming response has begun to reach the client. Its attempt may end much later; the request is not
+  // sent again.
   void OnStreamStart(Micros now, RequestId request, int attempt, Actions* out);
-  // The request has a long body that is passed on as it comes. Without `time_left`: a part of it has left, so
-  // that it cannot be sent again, and nothing of it is timed; with it: all is out, and its time counts.
+  // The request has a streaming body. Without `time_left`, a part of it was sent: the request cannot be sent
+  // again, and no timeout applies. With `time_left`, the whole body was sent, and the request is timed from
+  // now on.
   void OnBody(Micros now, RequestId request, std::optional<Micros> time_left, Actions* out);
   void OnClientGone(Micros now, RequestId request, Actions* out);
   void OnTimer(Micros now, std::uint64_t token, Actions* out);
-  // The result of a check that the host made; its report counts like one of an answer.
+  // Result of a Check, or of a check that the host made on its own; the report counts like that of a
+  // response.
   void OnCheck(Micros now, UpstreamId upstream, Outcome outcome, const std::optional<LoadReport>& report,
                Actions* out);
 
-  // What the host makes of whole zones: each zone's part of what it would get, by number; those beyond the
-  // list have all of it. Nothing is sent to a zone of part 0, whoever asks.
+  // Sets, by zone number, the share of its normal traffic that each zone gets; zones beyond the list get all
+  // of it. Nothing is sent to a zone with share 0.
   void OnZones(Micros now, const std::vector<double>& parts, Actions* out);
 
-  // How many of the listed upstreams it keeps off now: draining, ejected, or avoided by all classes.
+  // Number of listed upstreams that get no requests now: draining, ejected, or avoided by all classes.
   int Avoided(Micros now) const;
 
  private:
