--- a/src/decide/random.h
+++ b/src/decide/random.h
@@ -1,4 +1,4 @@
-// Seeded pseudo-random numbers, so that a run can be repeated.
+// Seeded pseudo-random numbers: the same seed repeats a run.
 #ifndef UMBERDYKE_DECIDE_RANDOM_H_
 #define UMBERDYKE_DECIDE_RANDOM_H_
 
