--- a/src/decide/state.h
+++ b/src/decide/state.h
@@ -81,7 +81,7 @@
     int best = kNoUpstream;   // least loaded of those that reported
     Micros wait_until = 0;    // end of the wait for results; 0: not waiting
   } probing;
-  // Not counted in in_flight_: a request that streams, or has taken so long, does not reflect the load.
+  // Not counted in in_flight_: a request that streams or has run for long does not reflect the load.
   bool excluded_from_limit = false;
 
   // Records progress of a streamed request body. Without `time_left` a part of it has been sent and the
