--- a/examples/party.h
+++ b/examples/party.h
@@ -17,7 +17,7 @@
 // One message a connection at a time; each goes to the script, which answers when it likes.
 class Party {
  public:
-  class Peer : public StreamUser {
+  class Peer : public StreamCallbacks {
    public:
     Peer(Loop& loop, Party& party) : party_(party), stream(loop, this) {}
     void OnData(std::string_view bytes) override {
--- a/src/agent/console_client.cpp
+++ b/src/agent/console_client.cpp
@@ -19,7 +19,7 @@
   return lines;
 }
 
-class ConsoleClient::Exchange : public net::StreamUser {
+class ConsoleClient::Exchange : public net::StreamCallbacks {
  public:
   Exchange(ConsoleClient& owner, Waiting call)
       : owner_(owner),
@@ -94,7 +94,7 @@
   out_.erase(it);
   over->Close();
   const Done done = over->TakeDone();
-  loop_.Bury(std::move(over));
+  loop_.DestroyLater(std::move(over));
   loop_.Post(alive_, [this] { Next(); });
   done(std::move(answer));
 }
@@ -103,7 +103,7 @@
   waiting_.clear();
   for (auto& exchange : out_) {
     exchange->Close();
-    loop_.Bury(std::move(exchange));
+    loop_.DestroyLater(std::move(exchange));
   }
   out_.clear();
 }
--- a/src/agent/main.cpp
+++ b/src/agent/main.cpp
@@ -15,7 +15,7 @@
 using namespace umberdyke;
 
 std::optional<config::AgentFile> Load(const std::string& path, int* status) {
-  const files::ReadResult read = files::ReadWhole(path, config::kLargestFile);
+  const files::ReadResult read = files::ReadFile(path, config::kLargestFile);
   *status = 2;
   if (!read.error.empty()) {
     std::cerr << read.error << "\n";
@@ -36,7 +36,7 @@
                      : settings.log_level == "warning" ? log::Level::kWarning
                      : settings.log_level == "error"   ? log::Level::kError
                                                        : log::Level::kInfo;
-  const auto log = log::ErrorLog(format, level, settings.host);
+  const auto log = log::StderrLog(format, level, settings.host);
   net::Loop loop;
   agent::Agent agent(loop, settings, log);
   const auto end = [&] { agent.End([&] { loop.Stop(); }); };
--- a/src/config/config.cpp
+++ b/src/config/config.cpp
@@ -179,7 +179,7 @@
 Source ConfigFile(const Environment& environment) {
   const std::optional<std::string> path = environment("ROUTER_CONFIG");
   if (!path || path->empty()) Bad("ROUTER_CONFIG", "is not set");
-  files::ReadResult read = files::ReadWhole(*path, config::kLargestFile);
+  files::ReadResult read = files::ReadFile(*path, config::kLargestFile);
   if (!read.error.empty()) Bad("ROUTER_CONFIG", "names a file that cannot be read: " + read.error);
   return {*path, std::move(read.text)};
 }
--- a/src/console/console.cpp
+++ b/src/console/console.cpp
@@ -14,7 +14,7 @@
 
 }  // namespace
 
-class Console::Caller : public StreamUser {
+class Console::Caller : public StreamCallbacks {
  public:
   Caller(Console& console)
       : console_(console), stream_(console.loop_, this), patience_(console.loop_, [this] { Late(); }) {}
@@ -51,7 +51,7 @@
   void Answer(std::string bytes) {
     answered_ = true;
     patience_.Start(kLinger);
-    if (stream_.Write(std::move(bytes)) != Stream::Wrote::kBroken) stream_.EndSending();
+    if (stream_.Write(std::move(bytes)) != Stream::WriteResult::kFailed) stream_.EndSending();
   }
 
   void Late() {
@@ -75,8 +75,8 @@
       counters_(counters),
       notes_(identity_.application, counters, log,
              {{"sites",
-               {[&owner](const std::string& text) { return owner.CheckZones(text); },
-                [&owner](const std::string& text) { owner.TakeZones(text); }}}}),
+               {[&owner](const std::string& text) { return owner.CheckZonePlan(text); },
+                [&owner](const std::string& text) { owner.ApplyZonePlan(text); }}}}),
       most_callers_(static_cast<size_t>(std::max(1, most_callers))),
       listener_(loop, [this] { Come(); }) {}
 
@@ -133,19 +133,20 @@
                    std::to_string(identity_.tier) + "\nstate=" + std::string(owner_.StateName()) +
                    "\nrelease=" + EscapeMetricName(identity_.release) + "\nup_ms=" + std::to_string(UpMs()) +
                    "\nresident_kb=" + std::to_string(ResidentBytes() / 1024) + "\n" + notes_.Lines() +
-                   owner_.ZoneLines() + FormatMetrics(owner_.CurrentFigures()) +
+                   owner_.ZoneStatusLines() + FormatMetrics(owner_.CurrentFigures()) +
                    FormatSlower(owner_.CurrentFigures()));
     case ConsoleEndpoint::kDrain:
-      return owner_.SendClientsAway() ? ConsoleResponse(200, "drained\n")
-                                      : ConsoleResponse(409, "it is ending\n");
+      return owner_.DrainClients() ? ConsoleResponse(200, "drained\n")
+                                   : ConsoleResponse(409, "it is ending\n");
     case ConsoleEndpoint::kActivate:
       break;
   }
-  return owner_.TakeClientsBack() ? ConsoleResponse(200, "active\n") : ConsoleResponse(409, "it is ending\n");
+  return owner_.ReactivateClients() ? ConsoleResponse(200, "active\n")
+                                    : ConsoleResponse(409, "it is ending\n");
 }
 
 std::int64_t Console::UpMs() const {
-  const Time since = owner_.ServesSince();
+  const Time since = owner_.ServingSince();
   if (since == Time()) return 0;
   return std::chrono::duration_cast<std::chrono::milliseconds>(Clock::now() - since).count();
 }
@@ -157,7 +158,7 @@
   std::unique_ptr<Caller> gone = std::move(*it);
   callers_.erase(it);
   gone->Close();
-  loop_.Bury(std::move(gone));
+  loop_.DestroyLater(std::move(gone));
 }
 
 }  // namespace umberdyke::net
--- a/src/console/console.h
+++ b/src/console/console.h
@@ -25,14 +25,14 @@
   virtual std::string_view StateName() const = 0;  // one word
   virtual ConsoleMetrics CurrentFigures() const = 0;
   // Clients are to go elsewhere, and may come back. False: it can't be done any more.
-  virtual bool SendClientsAway() = 0;
-  virtual bool TakeClientsBack() = 0;
+  virtual bool DrainClients() = 0;
+  virtual bool ReactivateClients() = 0;
   // Since when it serves; Time(): not yet.
-  virtual Time ServesSince() const = 0;
+  virtual Time ServingSince() const = 0;
   // The owner's word on zones: why it cannot be used, or an empty text; and what is known of zones, as lines.
-  virtual std::string CheckZones(const std::string& /*text*/) const { return "no plan for zones here"; }
-  virtual void TakeZones(const std::string& /*text*/) {}
-  virtual std::string ZoneLines() const { return ""; }
+  virtual std::string CheckZonePlan(const std::string& /*text*/) const { return "no plan for zones here"; }
+  virtual void ApplyZonePlan(const std::string& /*text*/) {}
+  virtual std::string ZoneStatusLines() const { return ""; }
 
  protected:
   ~ConsoleOwner() = default;
--- a/src/console/fleet_notes.cpp
+++ b/src/console/fleet_notes.cpp
@@ -23,7 +23,7 @@
 }  // namespace
 
 FleetNotes::FleetNotes(std::string application, Counters& counters, log::Log& log,
-                       std::map<std::string, NoteUser, std::less<>> users)
+                       std::map<std::string, NoteHandler, std::less<>> users)
     : application_(std::move(application)),
       life_(DrawLife()),
       users_(std::move(users)),
--- a/src/console/fleet_notes.h
+++ b/src/console/fleet_notes.h
@@ -20,7 +20,7 @@
 namespace umberdyke::net {
 
 // Of a duty whose notes are for this sidecar itself: whether a text can be used, and its use.
-struct NoteUser {
+struct NoteHandler {
   std::function<std::string(const std::string& text)> check;  // why not; empty: it can
   std::function<void(const std::string& text)> take;
 };
@@ -30,7 +30,7 @@
   // `application`: whose orders are taken; empty: nobody's. `users` by duty; the others' notes are for
   // people.
   FleetNotes(std::string application, Counters& counters, log::Log& log,
-             std::map<std::string, NoteUser, std::less<>> users = {});
+             std::map<std::string, NoteHandler, std::less<>> users = {});
 
   // The whole answer: 200 taken, or taken before; 404 an unknown duty; 409 of another application, of an
   // older term or step, or a text that cannot be used; 412 made for another life of this process.
@@ -50,7 +50,7 @@
 
   const std::string application_;
   const std::string life_;
-  const std::map<std::string, NoteUser, std::less<>> users_;
+  const std::map<std::string, NoteHandler, std::less<>> users_;
   Counters& counters_;
   log::Log& log_;
   std::map<std::string, Note, std::less<>> notes_;  // by duty; those that are known, and no others
--- a/src/ctl/command.cpp
+++ b/src/ctl/command.cpp
@@ -17,7 +17,7 @@
 
 std::optional<std::string> Load(const std::string& path, const Streams& streams) {
   // One byte past the limit comes along, so that the check tells of the size.
-  files::ReadResult read = files::ReadWhole(path, config::kLargestFile);
+  files::ReadResult read = files::ReadFile(path, config::kLargestFile);
   if (read.error.empty()) return std::move(read.text);
   streams.errors << config::OneLine(read.error, 4096) << "\n";
   return std::nullopt;
@@ -77,12 +77,12 @@
                                   const std::string& host, const std::vector<config::WrittenFile>& files) {
   std::vector<std::string> left;
   std::string error;
-  for (const std::string& name : files::NamesIn(folder, &error)) {
+  for (const std::string& name : files::ListFiles(folder, &error)) {
     if (!name.starts_with(application.name.value + ".") || !name.ends_with(".json")) continue;
     const bool described =
         std::any_of(files.begin(), files.end(), [&](const auto& f) { return f.name == name; });
     if (described) continue;
-    const files::ReadResult read = files::ReadWhole(folder + "/" + name, config::kLargestFile);
+    const files::ReadResult read = files::ReadFile(folder + "/" + name, config::kLargestFile);
     const auto of = read.error.empty() ? config::BelongsTo(read.text) : std::nullopt;
     if (of && of->application == application.name.value && of->host == host) left.push_back(name);
   }
--- a/src/ctl/config_diff.cpp
+++ b/src/ctl/config_diff.cpp
@@ -20,7 +20,7 @@
   if (!files) return kRefused;
   for (const config::WrittenFile& file : *files) {
     const std::string path = options.out + "/" + file.name;
-    const files::ReadResult read = files::ReadWhole(path, config::kLargestFile);
+    const files::ReadResult read = files::ReadFile(path, config::kLargestFile);
     if (read.missing) {
       streams.out << path << ": would be written anew\n";
       status = kRefused;
--- a/src/ctl/config_upgrade.cpp
+++ b/src/ctl/config_upgrade.cpp
@@ -38,13 +38,13 @@
   }
   if (!options.dry) {
     const std::string backup = options.file + ".format" + std::to_string(upgraded->from);
-    const files::ReadResult old = files::ReadWhole(backup, config::kLargestFile);
+    const files::ReadResult old = files::ReadFile(backup, config::kLargestFile);
     if (!old.missing && old.text != *text) {
       streams.errors << backup << ": another backup lies there; move it away first\n";
       return kRefused;
     }
     for (const auto& [path, content] : {std::pair(backup, *text), std::pair(options.file, upgraded->text)}) {
-      if (const std::string error = files::WriteWhole(path, content); !error.empty()) {
+      if (const std::string error = files::WriteFileAtomically(path, content); !error.empty()) {
         streams.errors << error << "\n";
         return kUnreadable;
       }
--- a/src/ctl/config_write.cpp
+++ b/src/ctl/config_write.cpp
@@ -40,11 +40,11 @@
   bool refused = false;
   for (const config::WrittenFile& file : *files) {
     Step step{&file, options.out + "/" + file.name, "", false};
-    if (files::IsLink(step.path)) {
+    if (files::IsSymlink(step.path)) {
       streams.errors << step.path << ": is a symbolic link, which is not written through\n";
       return kUnreadable;
     }
-    files::ReadResult read = files::ReadWhole(step.path, config::kLargestFile);
+    files::ReadResult read = files::ReadFile(step.path, config::kLargestFile);
     if (!read.error.empty() && !read.missing) {
       streams.errors << read.error << "\n";
       return kUnreadable;
@@ -67,7 +67,7 @@
       streams.out << step.path << ": unchanged\n";
       continue;
     }
-    if (const std::string error = files::WriteWhole(step.path, step.file->text); !error.empty()) {
+    if (const std::string error = files::WriteFileAtomically(step.path, step.file->text); !error.empty()) {
       streams.errors << error << "\n";
       return kUnreadable;
     }
--- a/src/ctl/sites.cpp
+++ b/src/ctl/sites.cpp
@@ -85,7 +85,7 @@
   const auto& [app, network, before, answers] = *planned;
   const sites::Plan plan = planner::PlanOf(app, network, answers);
   if (!options.out.empty()) {
-    const std::string error = files::WriteWhole(options.out, sites::Print(plan) + "\n");
+    const std::string error = files::WriteFileAtomically(options.out, sites::Print(plan) + "\n");
     if (!error.empty()) {
       streams.errors << error << "\n";
       return kUnreadable;
--- a/src/edge/edge_connection.cpp
+++ b/src/edge/edge_connection.cpp
@@ -91,7 +91,7 @@
     } else if (!had_begun && parser_.message_started() && answered_) {
       patience_.Start(kSlowest);
     }
-    if (rests_no_more_ && idle() && stream_.Quiet()) Linger(kLinger);
+    if (rests_no_more_ && idle() && stream_.ReadWouldBlock()) Linger(kLinger);
     return;
   }
   input_.erase(0, std::min(input_.find_first_not_of("\r\n"), input_.size()));  // belongs to no request
@@ -117,7 +117,7 @@
     state_ = State::kTaking;
     taking_ = true;
     passing_.BeginTransfer();
-    stream_.KeepQueueShort();
+    stream_.LimitUnsentBytes();
   }
   body_ += parser_.TakeBodyPart();
   if (parsed == ParseResult::kComplete) {
@@ -160,16 +160,16 @@
 }
 
 bool EdgeConnection::Write(std::string bytes) {
-  const Stream::Wrote wrote = stream_.Write(std::move(bytes));
-  if (wrote == Stream::Wrote::kLater) {
+  const Stream::WriteResult wrote = stream_.Write(std::move(bytes));
+  if (wrote == Stream::WriteResult::kQueued) {
     unwritten_ = stream_.unwritten();
     patience_.Start(kLongestWrite);
-  } else if (wrote == Stream::Wrote::kBroken) {
+  } else if (wrote == Stream::WriteResult::kFailed) {
     loop_.Post(alive_, [this] {
       if (stream_.open()) owner_.OnClosed(*this);
     });
   }
-  return wrote == Stream::Wrote::kAll;
+  return wrote == Stream::WriteResult::kWritten;
 }
 
 void EdgeConnection::SendResponse(std::string bytes, bool keep_alive) {
@@ -187,7 +187,7 @@
   framing_ = framing;
   answering_ = true;
   passing_.BeginTransfer();
-  stream_.KeepQueueShort();
+  stream_.LimitUnsentBytes();
   return Write(std::move(head));
 }
 
@@ -238,7 +238,7 @@
   state_ = State::kReading;
   if (!input_.empty()) {
     loop_.Post(alive_, [this] { Advance(); });
-  } else if (rests_no_more_ && stream_.Quiet()) {
+  } else if (rests_no_more_ && stream_.ReadWouldBlock()) {
     Linger(kLinger);
   } else {
     owner_.OnIdle();
@@ -257,7 +257,7 @@
 // After a stall the loop's timers run before it reads: what looks idle may hold a request.
 void EdgeConnection::CloseWhenIdle() {
   rests_no_more_ = true;
-  if (idle() && stream_.Quiet()) Linger(kLinger);
+  if (idle() && stream_.ReadWouldBlock()) Linger(kLinger);
 }
 
 void EdgeConnection::Late() {
@@ -270,7 +270,7 @@
   if (NotRead()) return ClientGone() ? owner_.OnClosed(*this) : patience_.Start(kLookAgain);
   if (state_ != State::kReading && state_ != State::kTaking) return;
   // The loop's timers run before it reads: what waits there is looked at first, once.
-  if (!stream_.Quiet() && !std::exchange(waited_, true)) return patience_.Start(0ms);
+  if (!stream_.ReadWouldBlock() && !std::exchange(waited_, true)) return patience_.Start(0ms);
   if (idle()) return owner_.OnClosed(*this);  // it never asked for anything
   if (state_ == State::kReading) state_ = State::kBusy;
   closing_ = true;
--- a/src/edge/edge_connection.h
+++ b/src/edge/edge_connection.h
@@ -35,7 +35,7 @@
   ~EdgeOwner() = default;
 };
 
-class EdgeConnection : public StreamUser {
+class EdgeConnection : public StreamCallbacks {
  public:
   EdgeConnection(Loop& loop, EdgeOwner& owner, StreamingBufferLimit& passing);
   ~EdgeConnection();
@@ -57,9 +57,9 @@
   // Closes between requests: now, or once all that has come is answered.
   void CloseWhenIdle();
   // More has come than the request that is out.
-  bool HasPipelinedInput() const { return stream_.open() && (!input_.empty() || !stream_.Quiet()); }
+  bool HasPipelinedInput() const { return stream_.open() && (!input_.empty() || !stream_.ReadWouldBlock()); }
   // THE word on whether its client has gone, also where that stands behind bytes that nobody has read.
-  bool ClientGone() const { return !stream_.open() || stream_.HungUp(); }
+  bool ClientGone() const { return !stream_.open() || stream_.PeerClosed(); }
   // Its time ends with it: what is buried lives on until the loop has run the timers that are due.
   void Close() {
     patience_.Stop();
@@ -68,7 +68,9 @@
   bool idle() const { return state_ == State::kReading && !parser_.message_started() && input_.empty(); }
   // Idle after an answer, so that it may be closed at no cost but a connect.
   bool idle_after_response() const { return answered_ && idle(); }
-  bool NoUnreadInput() const { return stream_.Quiet(); }  // and nothing of a next request waits unread
+  bool NoUnreadInput() const {
+    return stream_.ReadWouldBlock();
+  }  // and nothing of a next request waits unread
   // Has brought no whole request though it had the time for it: the first to be closed under pressure.
   bool first_request_overdue() const;
   bool lingering() const { return state_ == State::kLingering; }  // has ended, and waits for the other side
--- a/src/experiment/charts.cpp
+++ b/src/experiment/charts.cpp
@@ -166,7 +166,7 @@
   if (!status) return "gnuplot did not end";
   if (*status == 127) return "gnuplot is not installed (package gnuplot-nox)";
   if (*status == 0) return "";
-  return "gnuplot failed: " + files::ReadWhole(log, 4096).text;
+  return "gnuplot failed: " + files::ReadFile(log, 4096).text;
 }
 
 }  // namespace
@@ -196,8 +196,8 @@
                   Quoted(d.titles[i]);
       }
     }
-    *error = files::WriteWhole(base + ".dat", d.data);
-    if (error->empty()) *error = files::WriteWhole(base + ".gp", script + "\n");
+    *error = files::WriteFileAtomically(base + ".dat", d.data);
+    if (error->empty()) *error = files::WriteFileAtomically(base + ".gp", script + "\n");
     if (error->empty()) *error = RunGnuplot(base + ".gp", base + ".log");
     if (!error->empty()) return names;
     std::error_code ignored;
--- a/src/experiment/page.cpp
+++ b/src/experiment/page.cpp
@@ -39,7 +39,7 @@
   std::filesystem::create_directories(folder, made);
   if (made) return folder + ": " + made.message();
   const auto put = [&](const std::string& name, const std::string& text) {
-    return files::WriteWhole(folder + "/" + name, text);
+    return files::WriteFileAtomically(folder + "/" + name, text);
   };
   const std::string table = SummaryText(cells, TableFigures());
   std::string error = put("rows.csv", RowsCsv(cells));
@@ -78,7 +78,7 @@
        << "</pre>\n";
   if (!charts.empty()) page << "<h2>Charts</h2>\n";
   for (const std::string& chart : charts) {
-    const files::ReadResult read = files::ReadWhole(folder + "/" + chart, kLargestChart);
+    const files::ReadResult read = files::ReadFile(folder + "/" + chart, kLargestChart);
     if (!read.error.empty()) return read.error;
     page << "<figure>" << Inline(read.text) << "</figure>\n";
   }
--- a/src/experiment/plan.cpp
+++ b/src/experiment/plan.cpp
@@ -38,7 +38,7 @@
   explicit PlanReader(std::string file) : file_(std::move(file)) {}
 
   toml::table Parse() const {
-    const files::ReadResult read = files::ReadWhole(file_, kLargestFile);
+    const files::ReadResult read = files::ReadFile(file_, kLargestFile);
     if (!read.error.empty()) throw ScenarioError(file_ + ": " + read.error);
     try {
       return toml::parse(read.text, file_);
--- a/src/experiment/results.cpp
+++ b/src/experiment/results.cpp
@@ -118,18 +118,18 @@
 }
 
 std::optional<Cell> ReadCell(const std::string& path, const std::string& key) {
-  const files::ReadResult read = files::ReadWhole(path, kLargestCell);
+  const files::ReadResult read = files::ReadFile(path, kLargestCell);
   return read.error.empty() ? Parse(read.text, key) : std::nullopt;
 }
 
 std::vector<Cell> ReadCells(const std::string& folder) {
   std::string error;
   std::vector<Cell> cells;
-  const std::vector<std::string> names = files::NamesIn(folder + "/cells", &error);
+  const std::vector<std::string> names = files::ListFiles(folder + "/cells", &error);
   if (!error.empty()) throw emulator::ScenarioError(error);
   for (const std::string& name : names) {
     if (!name.ends_with(".json")) continue;
-    const files::ReadResult read = files::ReadWhole(folder + "/cells/" + name, kLargestCell);
+    const files::ReadResult read = files::ReadFile(folder + "/cells/" + name, kLargestCell);
     if (!read.error.empty()) throw emulator::ScenarioError(folder + "/cells/" + name + ": " + read.error);
     auto cell = Parse(read.text, "");
     if (!cell)
--- a/src/experiment/runner.cpp
+++ b/src/experiment/runner.cpp
@@ -137,7 +137,7 @@
       Cell cell = RunOne(plan, variant, at, task.seed, task.seed == plan.first_seed, stop, &stopped);
       if (stopped) return;
       std::string error;
-      if (!folder.empty()) error = files::WriteWhole(path, Print(cell, key));
+      if (!folder.empty()) error = files::WriteFileAtomically(path, Print(cell, key));
       const std::lock_guard<std::mutex> lock(mutex);
       if (!error.empty() && result.error.empty()) result.error = error;
       result.core_s += cell.wall_s;
--- a/src/files/files.cpp
+++ b/src/files/files.cpp
@@ -55,7 +55,7 @@
   return ops;
 }
 
-ReadResult ReadWhole(const std::string& path, size_t most) {
+ReadResult ReadFile(const std::string& path, size_t most) {
   ReadResult result;
   // Without waiting: opening a pipe would otherwise wait for its writer.
   const int fd = open(path.c_str(), O_RDONLY | O_CLOEXEC | O_NONBLOCK);
@@ -87,8 +87,8 @@
   return result;
 }
 
-std::string WriteWhole(const std::string& path, std::string_view text, FileOps& ops) {
-  if (IsLink(path)) return path + ": is a symbolic link, which is not written through";
+std::string WriteFileAtomically(const std::string& path, std::string_view text, FileOps& ops) {
+  if (IsSymlink(path)) return path + ": is a symbolic link, which is not written through";
   struct stat about {};
   const bool there = stat(path.c_str(), &about) == 0;
   if (there && !S_ISREG(about.st_mode)) return path + ": is no regular file";
@@ -124,12 +124,12 @@
   return "";
 }
 
-bool IsLink(const std::string& path) {
+bool IsSymlink(const std::string& path) {
   struct stat about {};
   return lstat(path.c_str(), &about) == 0 && S_ISLNK(about.st_mode);
 }
 
-std::vector<std::string> NamesIn(const std::string& folder, std::string* error) {
+std::vector<std::string> ListFiles(const std::string& folder, std::string* error) {
   std::vector<std::string> names;
   std::error_code code;
   std::filesystem::directory_iterator it(folder, code);
--- a/src/files/files.h
+++ b/src/files/files.h
@@ -36,16 +36,16 @@
   bool missing = false;  // there is no such file
 };
 // A regular file of at most `most` bytes: no folder, device or pipe, which could be without end.
-ReadResult ReadWhole(const std::string& path, size_t most);
+ReadResult ReadFile(const std::string& path, size_t most);
 
 // Writes beside the file, syncs, and renames over it; then syncs the folder. Where anything fails the old
 // file stays whole and the new one is removed. A link is not written through. Returns an empty text or the
 // error.
-std::string WriteWhole(const std::string& path, std::string_view text, FileOps& ops = SystemOps());
+std::string WriteFileAtomically(const std::string& path, std::string_view text, FileOps& ops = SystemOps());
 
-bool IsLink(const std::string& path);
+bool IsSymlink(const std::string& path);
 // The names of regular files in a folder, sorted.
-std::vector<std::string> NamesIn(const std::string& folder, std::string* error);
+std::vector<std::string> ListFiles(const std::string& folder, std::string* error);
 
 }  // namespace umberdyke::files
 
--- a/src/fleet/view.cpp
+++ b/src/fleet/view.cpp
@@ -64,7 +64,7 @@
 
 std::variant<std::string, Unreadable> ReadAuth(const std::string& auth_file) {
   if (auth_file.empty()) return std::string();
-  files::ReadResult read = files::ReadWhole(auth_file, 4096);
+  files::ReadResult read = files::ReadFile(auth_file, 4096);
   if (!read.error.empty()) return Unreadable{"auth_file: " + read.error};
   while (!read.text.empty() && (read.text.back() == '\n' || read.text.back() == '\r')) read.text.pop_back();
   if (read.text.find(':') == std::string::npos) return Unreadable{"auth_file holds no user:password"};
--- a/src/flow/book.cpp
+++ b/src/flow/book.cpp
@@ -61,7 +61,7 @@
   metrics_.CountFlow(flow->request.request_class, ending,
                      metrics_.timed() ? Clock::now() - flow->received : Span(0));
   flow->last_call->Stop();
-  loop_.Bury(std::move(flow));
+  loop_.DestroyLater(std::move(flow));
 }
 
 }  // namespace umberdyke::net
--- a/src/handover/handover.cpp
+++ b/src/handover/handover.cpp
@@ -98,7 +98,7 @@
 }  // namespace
 
 struct Handover::Successor {
-  std::unique_ptr<Readable> link;
+  std::unique_ptr<FdWatcher> link;
   bool has_socket = false;
   bool serves = false;
 };
@@ -139,13 +139,13 @@
     return std::nullopt;
   }
   counters_.Add("handover_taken");
-  predecessor_ = std::make_unique<Readable>(loop_, link, [this] { PredecessorGone(); });
+  predecessor_ = std::make_unique<FdWatcher>(loop_, link, [this] { PredecessorGone(); });
   return listener;
 }
 
 // A predecessor says nothing more: what can be read is its end.
 void Handover::PredecessorGone() {
-  loop_.Bury(std::move(predecessor_));
+  loop_.DestroyLater(std::move(predecessor_));
   owner_.changed();
 }
 
@@ -171,7 +171,7 @@
     return why;
   }
   offered_ = true;
-  offer_ = std::make_unique<Readable>(loop_, fd, [this] { Come(); });
+  offer_ = std::make_unique<FdWatcher>(loop_, fd, [this] { Come(); });
   return "";
 }
 
@@ -184,7 +184,7 @@
   }
   auto successor = std::make_unique<Successor>();
   Successor& who = *successor;
-  who.link = std::make_unique<Readable>(loop_, fd, [this, &who] { Hear(who); });
+  who.link = std::make_unique<FdWatcher>(loop_, fd, [this, &who] { Hear(who); });
   successors_.push_back(std::move(successor));
   owner_.changed();
 }
@@ -207,7 +207,7 @@
                                  [&](const auto& s) { return s.get() == &successor; });
     std::unique_ptr<Successor> gone = std::move(*it);
     successors_.erase(it);
-    loop_.Bury(std::move(gone));
+    loop_.DestroyLater(std::move(gone));
   }
   owner_.changed();
 }
--- a/src/handover/handover.h
+++ b/src/handover/handover.h
@@ -51,8 +51,8 @@
   Counters& counters_;
   const Owner owner_;
   const std::shared_ptr<char> alive_ = std::make_shared<char>();
-  std::unique_ptr<Readable> offer_;
-  std::unique_ptr<Readable> predecessor_;
+  std::unique_ptr<FdWatcher> offer_;
+  std::unique_ptr<FdWatcher> predecessor_;
   std::vector<std::unique_ptr<Successor>> successors_;
   bool offered_ = false;
 };
--- a/src/lab/coordinator/connection.h
+++ b/src/lab/coordinator/connection.h
@@ -37,7 +37,7 @@
 };
 
 // One client: its packets in order, and its answers in order however they are delayed.
-class Ensemble::Connection : public net::StreamUser {
+class Ensemble::Connection : public net::StreamCallbacks {
  public:
   Connection(Ensemble& owner, size_t member)
       : owner_(owner), member(member), stream(owner.loop_, this), timer_(owner.loop_, [this] { Flush(); }) {}
--- a/src/lab/coordinator/control.cpp
+++ b/src/lab/coordinator/control.cpp
@@ -124,7 +124,7 @@
   return code == Code::kOk ? "ok" : "no " + std::to_string(static_cast<int>(code));
 }
 
-class Control::Caller : public net::StreamUser {
+class Control::Caller : public net::StreamCallbacks {
  public:
   explicit Caller(Control& control) : control_(control), stream(control.loop_, this) {}
   void OnData(std::string_view bytes) override {
@@ -175,7 +175,7 @@
   const auto it =
       std::find_if(callers_.begin(), callers_.end(), [&](const auto& c) { return c.get() == caller; });
   if (it == callers_.end()) return;
-  loop_.Bury(std::move(*it));
+  loop_.DestroyLater(std::move(*it));
   callers_.erase(it);
 }
 
--- a/src/lab/coordinator/ensemble.cpp
+++ b/src/lab/coordinator/ensemble.cpp
@@ -172,7 +172,7 @@
   if (!connection->stream.Accept(at.listener)) return;
   if (at.faults.refuse || !majority_) {
     connection->stream.Close();
-    loop_.Bury(std::move(connection));
+    loop_.DestroyLater(std::move(connection));
     return;
   }
   connection->stream.Read();
@@ -195,7 +195,7 @@
   auto& all = members_[connection->member]->connections;
   const auto it = std::find_if(all.begin(), all.end(), [&](const auto& c) { return c.get() == connection; });
   if (it == all.end()) return;
-  loop_.Bury(std::move(*it));
+  loop_.DestroyLater(std::move(*it));
   all.erase(it);
 }
 
--- a/src/lab/experiments.cpp
+++ b/src/lab/experiments.cpp
@@ -71,7 +71,7 @@
   }
   if (!folder.empty()) {
     // Where the plan is, so that the folder can be reported on by itself.
-    std::string error = files::WriteWhole(folder + "/experiment.path", file + "\n");
+    std::string error = files::WriteFileAtomically(folder + "/experiment.path", file + "\n");
     if (error.empty() && !result.cells.empty()) error = experiment::WriteReport(plan, result.cells, folder);
     if (!error.empty()) {
       std::cerr << "umberdyke_lab: " << error << "\n";
@@ -129,7 +129,7 @@
   sub->add_option("--experiment", file, "The file, where it is not where the run found it");
   sub->callback([status] {
     std::string path = file;
-    if (path.empty()) path = files::ReadWhole(folder + "/experiment.path", 4096).text;
+    if (path.empty()) path = files::ReadFile(folder + "/experiment.path", 4096).text;
     while (!path.empty() && path.back() == '\n') path.pop_back();
     const Plan plan = experiment::ReadPlan(path);
     const std::string error = experiment::WriteReport(plan, experiment::ReadCells(folder), folder);
--- a/src/lab/fleet/commands.cpp
+++ b/src/lab/fleet/commands.cpp
@@ -61,7 +61,7 @@
     many.faults = options.faults;
     return PlanOf(many, options.seed);
   }
-  const files::ReadResult read = files::ReadWhole(options.plan, 1 << 20);
+  const files::ReadResult read = files::ReadFile(options.plan, 1 << 20);
   auto plan = ReadPlan(read.text);
   *status = 2;
   if (!read.error.empty()) {
@@ -99,7 +99,7 @@
     const BedReport report = RunBed(*plan, options->programs);
     std::cout << Print(*plan, report);
     if (options->programs.keep) std::cout << "logs: " << report.folder << "\n";
-    if (!options->json.empty()) files::WriteWhole(options->json, PrintJson(*plan, report));
+    if (!options->json.empty()) files::WriteFileAtomically(options->json, PrintJson(*plan, report));
     *status = !report.error.empty() ? 2 : !report.verdict.clean() ? 1 : report.was_void ? 3 : 0;
     if (options->expect.empty() || *status == 2) return;
     const auto& broken = report.verdict.broken;
@@ -186,7 +186,7 @@
       return;
     }
     const BedPlan least = Shrink(*plan, fails, options->most);
-    const std::string error = files::WriteWhole(options->out, Print(least));
+    const std::string error = files::WriteFileAtomically(options->out, Print(least));
     std::cout << plan->faults.size() << " faults cut down to " << least.faults.size()
               << (error.empty() ? "\n" : ": " + error + "\n");
     *status = error.empty() ? 0 : 2;
--- a/src/lab/fleet/many.cpp
+++ b/src/lab/fleet/many.cpp
@@ -48,7 +48,7 @@
   if (many.sites) command.push_back("--sites");
   if (many.rollouts) command.push_back("--rollouts");
   if (!many.plans.empty()) {
-    files::WriteWhole(out + ".plan", Print(many.plans[seed]));
+    files::WriteFileAtomically(out + ".plan", Print(many.plans[seed]));
     command.insert(command.end(), {"--plan", out + ".plan"});
   }
   return command;
@@ -79,11 +79,11 @@
     running.push_back(std::move(job));
   };
   const auto finish = [&](Job& job) {
-    const Json json = Json::parse(files::ReadWhole(job.out, 64 << 20).text, nullptr, false);
+    const Json json = Json::parse(files::ReadFile(job.out, 64 << 20).text, nullptr, false);
     if (!json.is_object()) {
       ++report.failed;
       report.failures.push_back("seed " + std::to_string(job.seed) + ": no report; " +
-                                files::ReadWhole(job.out + ".log", 2000).text);
+                                files::ReadFile(job.out + ".log", 2000).text);
       return;
     }
     if (json.value("void", false) && json["broken"].empty() && job.tries < kTries) {
@@ -117,9 +117,9 @@
       }
       report.failures.push_back(line);
       if (!many.keep.empty()) {
-        files::WriteWhole(many.keep + "/" + std::to_string(job.seed) + ".plan.json",
-                          Print(PlanOf(many, job.seed)));
-        files::WriteWhole(many.keep + "/" + std::to_string(job.seed) + ".report.json", json.dump(1));
+        files::WriteFileAtomically(many.keep + "/" + std::to_string(job.seed) + ".plan.json",
+                                   Print(PlanOf(many, job.seed)));
+        files::WriteFileAtomically(many.keep + "/" + std::to_string(job.seed) + ".report.json", json.dump(1));
       }
     }
   };
--- a/src/lab/fleet/measure.cpp
+++ b/src/lab/fleet/measure.cpp
@@ -195,7 +195,7 @@
                                     paths.Journal("idle"), paths.History("idle")}) {
       ensemble.tree().Create(path, "", {}, 0, 0, 0, {}, &created, &changes);
     }
-    const auto log = log::NoLog();
+    const auto log = log::NullLog();
     std::vector<std::unique_ptr<Candidate>> all;
     for (int i = 0; i < n; ++i) {
       all.push_back(std::make_unique<Candidate>(loop, ensemble.addresses(), paths, *log, i));
@@ -228,7 +228,7 @@
       before->client.Stop();  // its session ends, as when it had run out
       std::erase_if(all, [&](auto& c) {
         if (c.get() != before) return false;
-        loop.Bury(std::move(c));
+        loop.DestroyLater(std::move(c));
         return true;
       });
       if (!loop.RunUntil([&] { return owner() != nullptr; }, 10s)) return 1;
--- a/src/lab/fleet/relay.cpp
+++ b/src/lab/fleet/relay.cpp
@@ -58,7 +58,7 @@
 
  private:
   // The side that bytes of one direction come from.
-  class End : public net::StreamUser {
+  class End : public net::StreamCallbacks {
    public:
     End(Pair& pair, Way way) : pair_(pair), way_(way), stream(pair.relay_.loop_, this) {
       connected = way == Way::kThere;
@@ -157,7 +157,7 @@
   std::unique_ptr<Pair> gone = std::move(*it);
   pairs_.erase(it);
   gone->Close(false);
-  loop_.Bury(std::move(gone));
+  loop_.DestroyLater(std::move(gone));
 }
 
 void Relay::Set(Way way, const Faults& faults) {
@@ -177,7 +177,7 @@
   all.swap(pairs_);
   for (auto& pair : all) {
     pair->Close(true);
-    loop_.Bury(std::move(pair));
+    loop_.DestroyLater(std::move(pair));
   }
 }
 
--- a/src/lab/fleet/stand_ins.cpp
+++ b/src/lab/fleet/stand_ins.cpp
@@ -66,7 +66,7 @@
 
 int RunServers(const ServersOptions& options) {
   if (!options.servers.empty()) {
-    const auto list = nlohmann::json::parse(files::ReadWhole(options.servers, 1 << 20).text, nullptr, false);
+    const auto list = nlohmann::json::parse(files::ReadFile(options.servers, 1 << 20).text, nullptr, false);
     return list.is_array() ? RunZone(options, list) : 2;
   }
   net::Loop loop;
@@ -91,7 +91,7 @@
       {"at_once", ledger.at_once},
       {"repeats_dropped",
        ledger.repeats_dropped}}.dump();
-  return files::WriteWhole(options.ledger, text).empty() ? 0 : 1;
+  return files::WriteFileAtomically(options.ledger, text).empty() ? 0 : 1;
 }
 
 namespace {
@@ -104,7 +104,7 @@
   std::string Listen(const net::Address& address) { return listener_.Listen(address); }
 
  private:
-  struct Caller : net::StreamUser {
+  struct Caller : net::StreamCallbacks {
     explicit Caller(Unfenced& o) : owner(o), stream(o.loop_, this) {}
     void OnData(std::string_view bytes) override {
       size_t used = 0;
@@ -130,7 +130,7 @@
         std::find_if(callers_.begin(), callers_.end(), [&](const auto& c) { return c.get() == caller; });
     if (it == callers_.end()) return;
     (*it)->stream.Close();
-    loop_.Bury(std::move(*it));
+    loop_.DestroyLater(std::move(*it));
     callers_.erase(it);
   }
   std::string AnswerTo(const net::Message& message) {
@@ -165,7 +165,7 @@
 int RunUnfenced(const std::string& console, const std::string& name) {
   net::Loop loop;
   const net::Signal term(loop, SIGTERM, [&] { loop.Stop(); });
-  const auto log = log::ErrorLog(log::Format::kJson, log::Level::kDebug, name);
+  const auto log = log::StderrLog(log::Format::kJson, log::Level::kDebug, name);
   Unfenced place(loop, name, *log);
   const auto address = net::ParseAddress(console);
   if (!address || !place.Listen(*address).empty()) return 2;
@@ -176,7 +176,7 @@
 int RunWrongAgent(const std::string& config, const std::string& kind) {
   config::Findings findings;
   const auto settings =
-      config::ReadAgentFile(config, files::ReadWhole(config, config::kLargestFile).text, &findings);
+      config::ReadAgentFile(config, files::ReadFile(config, config::kLargestFile).text, &findings);
   if (!settings) {
     std::cerr << config << ": cannot be used\n";
     return 2;
@@ -192,7 +192,7 @@
   rollout.twice = kind == "twice";
   rollout.never_back = kind == "never-back";
   net::Loop loop;
-  agent::Agent agent(loop, *settings, log::ErrorLog(log::Format::kJson, log::Level::kDebug, settings->host),
+  agent::Agent agent(loop, *settings, log::StderrLog(log::Format::kJson, log::Level::kDebug, settings->host),
                      wrong, rollout);
   const net::Signal term(loop, SIGTERM, [&] { agent.End([&] { loop.Stop(); }); });
   agent.Start();
--- a/src/lab/fleet/world.cpp
+++ b/src/lab/fleet/world.cpp
@@ -167,7 +167,7 @@
     throw std::runtime_error("the bed's description: " + config::PrintLine(findings.list()[0]));
   const auto put = [&](const std::string& name, const std::string& bytes) {
     const std::string path = folder_ + "/" + name;
-    if (const std::string error = files::WriteWhole(path, bytes); !error.empty())
+    if (const std::string error = files::WriteFileAtomically(path, bytes); !error.empty())
       throw std::runtime_error(error);
     return path;
   };
@@ -234,7 +234,7 @@
   for (int i = 0; i < 250 && !connects(control_address_); ++i) loop_.RunUntil([] { return false; }, 20ms);
   control_ = std::make_unique<ControlLine>(loop_, control_address_);
   if (!loop_.RunUntil([&] { return control_->up(); }, 5s)) {
-    *why = "the service did not come up: " + files::ReadWhole(folder_ + "/service.log", 4096).text;
+    *why = "the service did not come up: " + files::ReadFile(folder_ + "/service.log", 4096).text;
     return false;
   }
   for (const char* path : {"/linen-track", "/linen-track/servers", "/linen-track/sidecars"}) {
@@ -264,7 +264,7 @@
     while (!SidecarReady(i)) {
       if (net::Clock::now() > end || sidecar(i)->Ended()) {
         *why = "a sidecar did not come up: " +
-               files::ReadWhole(sidecars_[static_cast<size_t>(i)].logs.back(), 4096).text;
+               files::ReadFile(sidecars_[static_cast<size_t>(i)].logs.back(), 4096).text;
         return false;
       }
       loop_.RunUntil([] { return false; }, 20ms);
@@ -468,18 +468,18 @@
   for (const Sidecar& sidecar : sidecars_) {
     PlaceLog place;
     place.name = sidecar.name;
-    for (const std::string& log : sidecar.logs) ReadPlaceLog(files::ReadWhole(log, kLargestLog).text, &place);
+    for (const std::string& log : sidecar.logs) ReadPlaceLog(files::ReadFile(log, kLargestLog).text, &place);
     // And those of processes that agents started, in the order of their starts.
     for (const std::string& log : LivesOf(sidecar.name)) {
-      ReadPlaceLog(files::ReadWhole(log, kLargestLog).text, &place);
+      ReadPlaceLog(files::ReadFile(log, kLargestLog).text, &place);
       place.spans.back().by_agent = true;
     }
     evidence->places.push_back(std::move(place));
   }
-  evidence->service = ReadServiceLines(files::ReadWhole(folder_ + "/commits", kLargestLog).text);
+  evidence->service = ReadServiceLines(files::ReadFile(folder_ + "/commits", kLargestLog).text);
   if (sites()) return GatherZones(evidence);
   if (rollout()) return GatherRollout(evidence);
-  const Json ledger = Json::parse(files::ReadWhole(folder_ + "/ledger", 1 << 20).text, nullptr, false);
+  const Json ledger = Json::parse(files::ReadFile(folder_ + "/ledger", 1 << 20).text, nullptr, false);
   if (!ledger.is_object()) {
     evidence->troubles.push_back("the servers left no ledger");
     return;
@@ -543,7 +543,7 @@
                       {"faces", faces}});
     }
     const std::string error =
-        files::WriteWhole(folder_ + "/servers-" + kZoneNames[zone] + ".json", list.dump());
+        files::WriteFileAtomically(folder_ + "/servers-" + kZoneNames[zone] + ".json", list.dump());
     if (!error.empty()) throw std::runtime_error(error);
   }
 }
@@ -589,7 +589,7 @@
   evidence->zones.sends = zone_sends_;
   for (int i = 0; i < plan_.sidecars; ++i) evidence->places[static_cast<size_t>(i)].zone = ZoneOfSidecar(i);
   for (const std::string& zone : evidence->zones.names) {
-    ReadWorked(files::ReadWhole(folder_ + "/ledger-" + zone, kLargestLog).text, &evidence->zones);
+    ReadWorked(files::ReadFile(folder_ + "/ledger-" + zone, kLargestLog).text, &evidence->zones);
   }
 }
 
--- a/src/lab/fleet/world.h
+++ b/src/lab/fleet/world.h
@@ -19,7 +19,7 @@
 namespace umberdyke::lab {
 
 // Commands to the stand-in service; answers are read and thrown away unless asked for.
-class ControlLine : public net::StreamUser {
+class ControlLine : public net::StreamCallbacks {
  public:
   ControlLine(net::Loop& loop, const std::string& address);
   void Say(const std::string& command);
--- a/src/lab/fleet/world_rollout.cpp
+++ b/src/lab/fleet/world_rollout.cpp
@@ -28,7 +28,7 @@
 constexpr size_t kLargest = size_t{64} << 20;
 
 void Put(const std::string& path, const std::string& bytes) {
-  if (const std::string error = files::WriteWhole(path, bytes); !error.empty())
+  if (const std::string error = files::WriteFileAtomically(path, bytes); !error.empty())
     throw std::runtime_error(error);
 }
 
@@ -67,7 +67,7 @@
   }
   // The files of the version with errors: one class is taken for another's kind.
   std::filesystem::create_directories(folder_ + "/files-errors");
-  std::string text = files::ReadWhole(folder_ + "/description.toml", kLargest).text;
+  std::string text = files::ReadFile(folder_ + "/description.toml", kLargest).text;
   const std::string good = kGoodCount;
   text.replace(text.find(good), good.size(), "name = \"count\"\nmethod = \"POST\"\nrepeat = \"unsafe\"\n");
   config::Findings findings;
@@ -78,7 +78,7 @@
     for (const config::WrittenFile& file : config::WriteSidecars(*app, agent.host, "")) {
       Json json = Json::parse(file.text);
       if (json.contains("kind")) continue;
-      Json mine = Json::parse(files::ReadWhole(folder_ + "/" + file.name, kLargest).text);
+      Json mine = Json::parse(files::ReadFile(folder_ + "/" + file.name, kLargest).text);
       mine["settings"] = json["settings"];
       mine["settings"]["tier"] = 0;
       Put(folder_ + "/files-errors/" + file.name, mine.dump(1));
@@ -196,7 +196,7 @@
   Zones worked;
   for (int i = 0; i < plan_.servers; ++i) {
     sight.servers.push_back("s" + std::to_string(i));
-    ReadWorked(files::ReadWhole(folder_ + "/ledger-s" + std::to_string(i), kLargest).text, &worked);
+    ReadWorked(files::ReadFile(folder_ + "/ledger-s" + std::to_string(i), kLargest).text, &worked);
   }
   // A handover that ran in two zones, or twice in one life of a server. Servers of a zone would know one
   // another's keys; these, each a process of its own, know their own alone.
--- a/src/lab/membership/caller.h
+++ b/src/lab/membership/caller.h
@@ -12,7 +12,7 @@
 namespace umberdyke::lab {
 
 // One connection of the clients: a request at a time.
-class Caller : public net::StreamUser {
+class Caller : public net::StreamCallbacks {
  public:
   using Done = std::function<void(const net::Message& answer)>;  // status 0: it ended without an answer
   Caller(net::Loop& loop, const net::Address& to) : stream(loop, this) { broken_ = !stream.Connect(to); }
--- a/src/lab/membership/propagation.cpp
+++ b/src/lab/membership/propagation.cpp
@@ -70,7 +70,7 @@
   config.membership = membership;
   const net::Platform platform(config);
   net::Counters counters;
-  const auto log = log::NoLog();
+  const auto log = log::NullLog();
   std::unordered_map<std::string, net::Time> gone, added;
   std::vector<double> gone_ms, added_ms;
   size_t known = 0;
--- a/src/lab/membership/run.cpp
+++ b/src/lab/membership/run.cpp
@@ -123,7 +123,7 @@
     std::filesystem::create_directories(folder_);
     const std::string listen = FreeAddress(loop_);
     address_ = *net::ParseAddress(listen);
-    if (const std::string error = files::WriteWhole(
+    if (const std::string error = files::WriteFileAtomically(
             folder_ + "/sidecar.json", SidecarFile(listen, kPath, ensemble_.addresses(), run_.session));
         !error.empty()) {
       report_.error = error;
@@ -135,7 +135,7 @@
       ready = Page("/-/ready", nullptr);
       if (ready != 200) loop_.RunUntil([] { return false; }, 25ms);
     }
-    if (ready != 200) report_.error = "the sidecar did not start: " + files::ReadWhole(log_, 4096).text;
+    if (ready != 200) report_.error = "the sidecar did not start: " + files::ReadFile(log_, 4096).text;
     loop_.RunUntil([] { return false; }, 300ms);  // it reads the list
   }
 
@@ -263,7 +263,7 @@
 
   // The counters of a life that is over stand in its log.
   void TakeLastWords() {
-    const std::string text = files::ReadWhole(log_, 1 << 20).text;
+    const std::string text = files::ReadFile(log_, 1 << 20).text;
     const auto count = [&](const std::string& name) -> std::uint64_t {
       const size_t at = text.rfind(name + " ");
       return at == std::string::npos ? 0 : std::strtoull(text.c_str() + at + name.size() + 1, nullptr, 10);
--- a/src/lab/membership/stand_in.cpp
+++ b/src/lab/membership/stand_in.cpp
@@ -11,7 +11,7 @@
 using namespace std::chrono_literals;
 
 // One connection of a caller: a request at a time, answered once its work is done.
-class StandIn::Peer : public net::StreamUser {
+class StandIn::Peer : public net::StreamCallbacks {
  public:
   Peer(StandIn& owner) : owner_(owner), stream(owner.loop_, this), done_(owner.loop_, [this] { Answer(); }) {}
   void OnData(std::string_view bytes) override {
@@ -170,7 +170,7 @@
   waiting_.clear();
   for (auto& peer : peers_) {
     peer->Close();
-    loop_.Bury(std::move(peer));
+    loop_.DestroyLater(std::move(peer));
   }
   peers_.clear();
   listener_.reset();
@@ -190,7 +190,7 @@
 void StandIn::Gone(Peer* peer) {
   const auto it = std::find_if(peers_.begin(), peers_.end(), [&](const auto& p) { return p.get() == peer; });
   if (it == peers_.end()) return;
-  loop_.Bury(std::move(*it));
+  loop_.DestroyLater(std::move(*it));
   peers_.erase(it);
 }
 
--- a/src/log/event.cpp
+++ b/src/log/event.cpp
@@ -58,11 +58,11 @@
 
 bool RateLimit::Take(Event event, Time now, std::uint64_t* held_back) {
   *held_back = 0;
-  if (!KindOf(event).limited) return true;
+  if (!KindOf(event).rate_limited) return true;
   Bucket& bucket = buckets_.at(static_cast<size_t>(event));
   if (bucket.filled != Time()) {
     const double passed = std::max(0.0, std::chrono::duration<double>(now - bucket.filled).count());
-    bucket.tokens = std::min(kBurst, bucket.tokens + passed * kEachSecond);
+    bucket.tokens = std::min(kBurst, bucket.tokens + passed * kRefillPerSecond);
   }
   bucket.filled = now;
   if (bucket.tokens < 1) {
--- a/src/log/event.h
+++ b/src/log/event.h
@@ -58,7 +58,7 @@
   Event event;
   std::string_view name;
   Level level;
-  bool limited;  // at most so many in a while; the start and the end always come through
+  bool rate_limited;  // at most so many in a while; the start and the end always come through
 };
 const std::vector<EventKind>& EventKinds();
 const EventKind& KindOf(Event event);
@@ -69,7 +69,7 @@
  public:
   using Time = std::chrono::steady_clock::time_point;
   static constexpr double kBurst = 20;
-  static constexpr double kEachSecond = 2;
+  static constexpr double kRefillPerSecond = 2;
 
   // Whether the event may be told now; then `held_back` says how many of it were not, since the last told.
   bool Take(Event event, Time now, std::uint64_t* held_back);
--- a/src/log/log.cpp
+++ b/src/log/log.cpp
@@ -71,12 +71,12 @@
   logger_.log(Of(kind.level), "{}", line.dump(-1, ' ', false, nlohmann::json::error_handler_t::replace));
 }
 
-std::shared_ptr<Log> ErrorLog(Format format, Level least, std::string instance) {
+std::shared_ptr<Log> StderrLog(Format format, Level least, std::string instance) {
   return std::make_shared<Log>(std::make_shared<spdlog::sinks::stderr_sink_st>(), format, least,
                                std::move(instance));
 }
 
-std::shared_ptr<Log> NoLog() {
+std::shared_ptr<Log> NullLog() {
   return std::make_shared<Log>(std::make_shared<spdlog::sinks::null_sink_st>(), Format::kText, Level::kError,
                                "test");
 }
--- a/src/log/log.h
+++ b/src/log/log.h
@@ -39,9 +39,9 @@
 };
 
 // A log on standard error.
-std::shared_ptr<Log> ErrorLog(Format format, Level least, std::string instance);
+std::shared_ptr<Log> StderrLog(Format format, Level least, std::string instance);
 // A log that nobody reads, for tests.
-std::shared_ptr<Log> NoLog();
+std::shared_ptr<Log> NullLog();
 
 }  // namespace umberdyke::log
 
--- a/src/loop/datagrams.cpp
+++ b/src/loop/datagrams.cpp
@@ -19,7 +19,7 @@
 
 }  // namespace
 
-std::string Datagrams::Listen(const Address& address) {
+std::string UdpSocket::Listen(const Address& address) {
   const int fd = socket(address.ss_family, SOCK_DGRAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0);
   if (fd < 0) return std::strerror(errno);
   if (bind(fd, reinterpret_cast<const sockaddr*>(&address), LengthOf(address)) != 0) {
@@ -27,11 +27,11 @@
     close(fd);
     return error;
   }
-  socket_ = std::make_unique<Readable>(loop_, fd, [this] { Receive(); });
+  socket_ = std::make_unique<FdWatcher>(loop_, fd, [this] { Receive(); });
   return "";
 }
 
-void Datagrams::Send(const Address& to, std::string_view bytes) {
+void UdpSocket::Send(const Address& to, std::string_view bytes) {
   if (socket_ == nullptr) return;
   ssize_t sent = 0;
   do {
@@ -40,7 +40,7 @@
   } while (sent < 0 && errno == EINTR);
 }
 
-void Datagrams::Receive() {
+void UdpSocket::Receive() {
   std::array<char, kLongestDatagram> buffer;
   for (int i = 0; i < kMostAtOnce && socket_ != nullptr; ++i) {
     Address from{};
--- a/src/loop/datagrams.h
+++ b/src/loop/datagrams.h
@@ -12,12 +12,12 @@
 
 namespace umberdyke::net {
 
-class Datagrams {
+class UdpSocket {
  public:
   using Received = std::function<void(const Address& from, std::string_view bytes)>;
-  Datagrams(Loop& loop, Received received) : loop_(loop), received_(std::move(received)) {}
-  Datagrams(const Datagrams&) = delete;
-  Datagrams& operator=(const Datagrams&) = delete;
+  UdpSocket(Loop& loop, Received received) : loop_(loop), received_(std::move(received)) {}
+  UdpSocket(const UdpSocket&) = delete;
+  UdpSocket& operator=(const UdpSocket&) = delete;
 
   // Returns an empty text, or what went wrong.
   std::string Listen(const Address& address);
@@ -29,7 +29,7 @@
 
   Loop& loop_;
   const Received received_;
-  std::unique_ptr<Readable> socket_;
+  std::unique_ptr<FdWatcher> socket_;
 };
 
 }  // namespace umberdyke::net
--- a/src/loop/loop.cpp
+++ b/src/loop/loop.cpp
@@ -76,17 +76,17 @@
   return done();
 }
 
-void Loop::Settle() {
+void Loop::RunReady() {
   // A message from one party to another and its answer take a turn each; what is posted takes none.
   for (int turn = 0; turn < 6; ++turn) uv_run(&loop_, UV_RUN_NOWAIT);
 }
 
-void Loop::Pass(Span time) {
+void Loop::AdvanceTime(Span time) {
   constexpr Span kStep = std::chrono::milliseconds(10);
   while (time > Span::zero()) {
     const Span step = std::min(time, kStep);
     time -= step;
-    Clock::ahead += step;
+    Clock::test_offset += step;
     uv_update_time(&loop_);
     const auto nearer = [](uv_handle_t* handle, void* by) {
       if (uv_handle_get_type(handle) != UV_TIMER || uv_is_active(handle) == 0) return;
@@ -98,7 +98,7 @@
     };
     Span by = step;
     uv_walk(&loop_, nearer, &by);
-    Settle();
+    RunReady();
   }
 }
 
@@ -145,7 +145,7 @@
   CloseHandle(handle_);
 }
 
-Readable::Readable(Loop& loop, int fd, std::function<void()> come)
+FdWatcher::FdWatcher(Loop& loop, int fd, std::function<void()> come)
     : fd_(fd), handle_(new Handle{{}, std::move(come)}) {
   uv_poll_init(loop.raw(), &handle_->uv, fd);
   handle_->uv.data = handle_;
@@ -153,7 +153,7 @@
                 [](uv_poll_t* p, int, int) { static_cast<Handle*>(p->data)->come(); });
 }
 
-Readable::~Readable() {
+FdWatcher::~FdWatcher() {
   uv_poll_stop(&handle_->uv);
   CloseHandle(handle_);
   close(fd_);
@@ -194,7 +194,7 @@
   return std::string(name) + ":" + std::to_string(ntohs(four->sin_port));
 }
 
-Stream::Stream(Loop& loop, StreamUser* user) : handle_(new Handle{{}, &loop, user, false}) {
+Stream::Stream(Loop& loop, StreamCallbacks* user) : handle_(new Handle{{}, &loop, user, false}) {
   uv_tcp_init(loop.raw(), &handle_->uv);
   handle_->uv.data = handle_;
 }
@@ -231,11 +231,11 @@
         *buffer = uv_buf_init(space.data(), static_cast<unsigned>(space.size()));
       },
       [](uv_stream_t* s, ssize_t count, const uv_buf_t* buffer) {
-        StreamUser* user = static_cast<Handle*>(s->data)->user;
+        StreamCallbacks* user = static_cast<Handle*>(s->data)->user;
         if (user == nullptr || count == 0) return;
         if (count < 0) {
           uv_read_stop(s);
-          static_cast<Handle*>(s->data)->ended_well = count == UV_EOF && EndedWell(s);
+          static_cast<Handle*>(s->data)->closed_cleanly = count == UV_EOF && EndedWell(s);
           user->OnEnd();
         } else {
           user->OnData({buffer->base, static_cast<size_t>(count)});
@@ -247,12 +247,12 @@
   if (handle_ != nullptr) uv_read_stop(reinterpret_cast<uv_stream_t*>(&handle_->uv));
 }
 
-Stream::Wrote Stream::Write(std::string bytes) {
+Stream::WriteResult Stream::Write(std::string bytes) {
   auto* stream = reinterpret_cast<uv_stream_t*>(&handle_->uv);
   uv_buf_t buffer = uv_buf_init(bytes.data(), static_cast<unsigned>(bytes.size()));
   const int now = uv_try_write(stream, &buffer, 1);
-  if (now == static_cast<int>(bytes.size())) return Wrote::kAll;
-  if (now < 0 && now != UV_EAGAIN) return Wrote::kBroken;
+  if (now == static_cast<int>(bytes.size())) return WriteResult::kWritten;
+  if (now < 0 && now != UV_EAGAIN) return WriteResult::kFailed;
   auto write = std::make_unique<PendingWrite>();
   write->bytes = now > 0 ? bytes.substr(static_cast<size_t>(now)) : std::move(bytes);
   write->uv.data = write.get();
@@ -262,19 +262,19 @@
     auto* handle = static_cast<Handle*>(w->handle->data);
     if (handle->user != nullptr) handle->user->OnWritten(failed == 0);
   });
-  if (status != 0) return Wrote::kBroken;
+  if (status != 0) return WriteResult::kFailed;
   write.release();
-  return Wrote::kLater;
+  return WriteResult::kQueued;
 }
 
-bool Stream::Quiet() const {
+bool Stream::ReadWouldBlock() const {
   uv_os_fd_t fd = -1;
   char byte = 0;
   if (uv_fileno(reinterpret_cast<const uv_handle_t*>(&handle_->uv), &fd) != 0) return false;
   return recv(fd, &byte, 1, MSG_PEEK | MSG_DONTWAIT) < 0 && (errno == EAGAIN || errno == EWOULDBLOCK);
 }
 
-bool Stream::HungUp() const {
+bool Stream::PeerClosed() const {
   uv_os_fd_t fd = -1;
   if (uv_fileno(reinterpret_cast<const uv_handle_t*>(&handle_->uv), &fd) != 0) return false;
   pollfd asked{fd, POLLRDHUP, 0};
@@ -287,7 +287,7 @@
              : uv_stream_get_write_queue_size(reinterpret_cast<const uv_stream_t*>(&handle_->uv));
 }
 
-void Stream::KeepQueueShort() {
+void Stream::LimitUnsentBytes() {
   uv_os_fd_t fd = -1;
   const int most = 64 * 1024;
   if (uv_fileno(reinterpret_cast<const uv_handle_t*>(&handle_->uv), &fd) == 0) {
@@ -319,7 +319,7 @@
   handle_ = nullptr;
 }
 
-bool Stream::HeldBack() const {
+bool Stream::HasUnackedBytes() const {
   uv_os_fd_t fd = -1;
   int bytes = 0;
   const bool open =
@@ -327,7 +327,7 @@
   return open && ioctl(fd, SIOCOUTQ, &bytes) == 0 && bytes > 0;
 }
 
-void Stream::Abort() { HeldBack() ? Reset() : Close(); }
+void Stream::Abort() { HasUnackedBytes() ? Reset() : Close(); }
 
 Listener::Listener(Loop& loop, std::function<void()> come)
     : loop_(loop), come_(std::move(come)), again_(loop, [this] { Resume(); }) {}
@@ -367,7 +367,7 @@
   for (int i = 0; i < kMostAtOnce; ++i) {
     took_ = false;
     come_();
-    if (handle->listener == nullptr || !took_ || !Waiting()) return;
+    if (handle->listener == nullptr || !took_ || !HasPendingConnection()) return;
   }
 }
 
@@ -397,11 +397,11 @@
   return why;
 }
 
-bool Listener::SaysTaken(const std::string& error) { return error == uv_strerror(UV_EADDRINUSE); }
+bool Listener::IsAddressInUse(const std::string& error) { return error == uv_strerror(UV_EADDRINUSE); }
 
 std::string Listener::Adopt(int fd) { return Start(fd); }
 
-bool Listener::Waiting() const {
+bool Listener::HasPendingConnection() const {
   pollfd asked{fd_, POLLIN, 0};
   return fd_ >= 0 && poll(&asked, 1, 0) > 0 && (asked.revents & POLLIN) != 0;
 }
--- a/src/loop/loop.h
+++ b/src/loop/loop.h
@@ -16,15 +16,15 @@
 
 namespace umberdyke::net {
 
-// The machine's steady clock, further ahead by what a test has let pass (Loop::Pass).
+// The machine's steady clock, further ahead by what a test has let pass (Loop::AdvanceTime).
 struct Clock {
   using duration = std::chrono::steady_clock::duration;
   using rep = duration::rep;
   using period = duration::period;
   using time_point = std::chrono::steady_clock::time_point;
   static constexpr bool is_steady = true;
-  static time_point now() noexcept { return std::chrono::steady_clock::now() + ahead; }
-  static inline duration ahead{};
+  static time_point now() noexcept { return std::chrono::steady_clock::now() + test_offset; }
+  static inline duration test_offset{};
 };
 using Time = Clock::time_point;
 using Span = Clock::duration;
@@ -47,16 +47,16 @@
   bool RunUntil(const std::function<bool()>& done, Span most);
   // For tests, whose clock it is: lets so much time pass for this loop's timers and the process's clock
   // without waiting, in small steps, after each of which all that can be read or written is.
-  void Pass(Span time);
+  void AdvanceTime(Span time);
   // Runs what is ready, without waiting and without time passing.
-  void Settle();
+  void RunReady();
   // Runs `task` before the loop next waits, never from inside this call; not at all once `guard` is gone.
   void Post(std::weak_ptr<void> guard, std::function<void()> task) {
     posted_.push_back({std::move(guard), std::move(task)});
   }
   // Destroys an object once none of its functions can be on the stack any more.
   template <typename T>
-  void Bury(std::unique_ptr<T> object) {
+  void DestroyLater(std::unique_ptr<T> object) {
     buried_.push_back(std::shared_ptr<T>(std::move(object)));
   }
 
@@ -111,12 +111,12 @@
 };
 
 // Owns a descriptor and tells when it can be read; for what is no TCP stream.
-class Readable {
+class FdWatcher {
  public:
-  Readable(Loop& loop, int fd, std::function<void()> come);
-  ~Readable();
-  Readable(const Readable&) = delete;
-  Readable& operator=(const Readable&) = delete;
+  FdWatcher(Loop& loop, int fd, std::function<void()> come);
+  ~FdWatcher();
+  FdWatcher(const FdWatcher&) = delete;
+  FdWatcher& operator=(const FdWatcher&) = delete;
   int fd() const { return fd_; }
 
  private:
@@ -138,7 +138,7 @@
 class Listener;
 
 // What a stream tells the one that uses it. The stream may be closed inside any of these.
-class StreamUser {
+class StreamCallbacks {
  public:
   virtual void OnConnected(bool /*ok*/) {}
   virtual void OnData(std::string_view bytes) = 0;
@@ -146,12 +146,12 @@
   virtual void OnWritten(bool /*ok*/) {}
 
  protected:
-  ~StreamUser() = default;
+  ~StreamCallbacks() = default;
 };
 
 class Stream {
  public:
-  Stream(Loop& loop, StreamUser* user);
+  Stream(Loop& loop, StreamCallbacks* user);
   ~Stream() { Close(); }
   Stream(const Stream&) = delete;
   Stream& operator=(const Stream&) = delete;
@@ -162,24 +162,24 @@
   bool Accept(Listener& listener);
   void Read();
   void Pause();
-  // kLater: OnWritten follows.
-  enum class Wrote { kAll, kLater, kBroken };
-  Wrote Write(std::string bytes);
+  // kQueued: OnWritten follows.
+  enum class WriteResult { kWritten, kQueued, kFailed };
+  WriteResult Write(std::string bytes);
   void EndSending();
   size_t unwritten() const;  // bytes given to Write that wait here
   // Long transfers: the kernel holds little that it has not sent, so that a slow reader is soon felt.
-  void KeepQueueShort();
+  void LimitUnsentBytes();
   // The other side has closed as it should; told with OnEnd.
-  bool ended_well() const { return handle_ != nullptr && handle_->ended_well; }
+  bool closed_cleanly() const { return handle_ != nullptr && handle_->closed_cleanly; }
   // Closes so that the other side can tell it from an end.
   void Reset();
   // Nothing waits to be read, and the other side has not closed.
-  bool Quiet() const;
+  bool ReadWouldBlock() const;
   // The other side has closed or the connection is broken, also where bytes wait to be read before that.
-  bool HungUp() const;
+  bool PeerClosed() const;
   void Close();
   // Some of what was written has not reached the other side yet.
-  bool HeldBack() const;
+  bool HasUnackedBytes() const;
   // Closes, and what was written and has not reached the other side yet never does.
   void Abort();
   bool open() const { return handle_ != nullptr; }
@@ -188,8 +188,8 @@
   struct Handle {
     uv_tcp_t uv;
     Loop* loop;
-    StreamUser* user;
-    bool ended_well = false;
+    StreamCallbacks* user;
+    bool closed_cleanly = false;
   };
   Handle* handle_;
 };
@@ -205,10 +205,10 @@
   // Returns an empty text, or what went wrong. `beside`: others that say so too may listen at the same
   // address.
   std::string Listen(const Address& address, bool beside = false);
-  static bool SaysTaken(const std::string& error);  // another holds the address
+  static bool IsAddressInUse(const std::string& error);  // another holds the address
   // Listens on a socket that does so already; owns it from now on.
   std::string Adopt(int fd);
-  bool Waiting() const;  // somebody is in the kernel's queue
+  bool HasPendingConnection() const;  // somebody is in the kernel's queue
   // Those that come are told of no more, or again.
   void Pause();
   void Resume();
--- a/src/membership/discovery_source.cpp
+++ b/src/membership/discovery_source.cpp
@@ -51,7 +51,7 @@
   connected_ = Clock::now();
   heartbeat_timer_.Start(kMaxHeartbeatGap);
   stream_.Read();
-  if (stream_.Write(request_) == Stream::Wrote::kBroken) Fail(CallFailure::kUnreachable);
+  if (stream_.Write(request_) == Stream::WriteResult::kFailed) Fail(CallFailure::kUnreachable);
 }
 
 // A head, or a part of an object, is no news: only what is whole puts the end of patience off.
@@ -275,7 +275,7 @@
                std::to_string(watch->bytes()) + " bytes: " + why,
            {{"why", std::string(why)}, {"after_ms", watch->AgeMs()}, {"bytes", watch->bytes()}});
   watch->Close();
-  loop_.Bury(std::move(watch));
+  loop_.DestroyLater(std::move(watch));
 }
 
 }  // namespace umberdyke::net
--- a/src/membership/discovery_source.h
+++ b/src/membership/discovery_source.h
@@ -21,7 +21,7 @@
 namespace umberdyke::net {
 
 // One call for the list and its changes, until it fails or is not wanted any more.
-class ListWatch : public StreamUser {
+class ListWatch : public StreamCallbacks {
  public:
   struct Callbacks {
     std::function<void(std::string_view)> on_item;  // whole; empty: only that the watch lives
--- a/src/membership/file_source.cpp
+++ b/src/membership/file_source.cpp
@@ -31,7 +31,7 @@
 }
 
 void FileSource::ReadFile() {
-  const files::ReadResult read = files::ReadWhole(path_, kMaxFileBytes);
+  const files::ReadResult read = files::ReadFile(path_, kMaxFileBytes);
   const auto list = read.error.empty() ? platform_.ParseServerList(read.text) : std::nullopt;
   // A list with a line that makes no sense would drop that server: better the whole old list than half a new
   // one.
--- a/src/membership/nodes_source.cpp
+++ b/src/membership/nodes_source.cpp
@@ -37,7 +37,7 @@
   client.servers = settings.servers;
   client.session = std::chrono::duration_cast<std::chrono::milliseconds>(settings.session);
   if (settings.auth_file.empty()) return client;
-  files::ReadResult read = files::ReadWhole(settings.auth_file, 4096);
+  files::ReadResult read = files::ReadFile(settings.auth_file, 4096);
   if (!read.error.empty()) throw ConfigError("configuration: membership.auth_file: " + read.error);
   while (!read.text.empty() && (read.text.back() == '\n' || read.text.back() == '\r')) read.text.pop_back();
   if (read.text.find(':') == std::string::npos) {
--- a/src/membership/peer_exchange.h
+++ b/src/membership/peer_exchange.h
@@ -40,7 +40,7 @@
   ServerList& server_list_;
   Counters& counters_;
   std::mt19937_64 random_;
-  Datagrams socket_;
+  UdpSocket socket_;
   Timer tick_;
 };
 
--- a/src/server/real_server.cpp
+++ b/src/server/real_server.cpp
@@ -23,7 +23,7 @@
 
 }  // namespace
 
-struct RealServers::Connection : StreamUser {
+struct RealServers::Connection : StreamCallbacks {
   Connection(RealServers& owner_in, ServerId server_in, const Address& address_in)
       : owner(owner_in),
         server(server_in),
@@ -129,16 +129,16 @@
   if (now < exchange.send_by)
     request = exchange.events.make_request(std::max<Span>(exchange.deadline - now, 0ms));
   if (!request) return EndLater(exchange.id, Code::kNotSent);
-  const Stream::Wrote wrote = exchange.connection->stream.Write(std::move(*request));
-  if (wrote == Stream::Wrote::kBroken) {
+  const Stream::WriteResult wrote = exchange.connection->stream.Write(std::move(*request));
+  if (wrote == Stream::WriteResult::kFailed) {
     EndLater(exchange.id, Code::kNotConnected);
   } else if (exchange.streams_request) {
-    exchange.connection->stream.KeepQueueShort();
+    exchange.connection->stream.LimitUnsentBytes();
     exchange.timer.Start(kStreamStallTimeout);
     loop_.Post(alive_, [this, id = exchange.id] {
       if (const auto it = exchanges_.find(id); it != exchanges_.end()) it->second->events.on_buffer_space();
     });
-  } else if (wrote == Stream::Wrote::kAll) {
+  } else if (wrote == Stream::WriteResult::kWritten) {
     OnRequestWritten(exchange);
   } else {
     ArmTimer(exchange, exchange.deadline);
@@ -166,7 +166,7 @@
   const auto it = exchanges_.find(id);
   if (it == exchanges_.end() || bytes.empty()) return;
   it->second->timer.Start(kStreamStallTimeout);
-  if (it->second->connection->stream.Write(std::move(bytes)) == Stream::Wrote::kBroken) {
+  if (it->second->connection->stream.Write(std::move(bytes)) == Stream::WriteResult::kFailed) {
     EndLater(id, Code::kNotConnected);
   }
 }
@@ -260,7 +260,7 @@
     }
     exchange->streams_response = true;
     exchange->latency = Clock::now() - exchange->started;
-    connection.stream.KeepQueueShort();
+    connection.stream.LimitUnsentBytes();
     streaming_limit_.BeginTransfer();
     exchange->response_head = parser.TakeHead();
     exchange->events.on_response_head(exchange->response_head);
@@ -309,7 +309,7 @@
 void RealServers::OnEnd(Connection& connection) {
   if (Exchange* exchange = connection.exchange; exchange != nullptr) {
     // A response without a length ends when the server closes the connection cleanly.
-    const bool complete_at_close = exchange->written && connection.stream.ended_well() &&
+    const bool complete_at_close = exchange->written && connection.stream.closed_cleanly() &&
                                    connection.parser.head_complete() &&
                                    connection.parser.FeedEnd() == ParseResult::kComplete;
     if (complete_at_close) {
@@ -346,7 +346,7 @@
   if (it == exchanges_.end()) return;
   Exchange& exchange = *it->second;
   if (Clock::now() >= exchange.send_by) {
-    const bool held_back = !exchange.connecting && exchange.connection->stream.HeldBack();
+    const bool held_back = !exchange.connecting && exchange.connection->stream.HasUnackedBytes();
     if (exchange.written && !held_back) {  // the server has received the request
       exchange.send_by = Time::max();
       return ArmTimer(exchange, exchange.deadline);
@@ -381,7 +381,7 @@
   const auto done = std::move(ended->events.on_done);
   const Span latency = ended->streams_response ? ended->latency : Clock::now() - ended->started;
   ReleaseBufferSpace(*ended);
-  loop_.Bury(std::move(ended));
+  loop_.DestroyLater(std::move(ended));
   done({code, std::move(response), latency});
 }
 
@@ -394,7 +394,7 @@
   ReleaseBufferSpace(*ended);
   const bool written = ended->written;
   if (ended->connection != nullptr) Destroy(std::move(ended->connection));
-  loop_.Bury(std::move(ended));
+  loop_.DestroyLater(std::move(ended));
   return written;
 }
 
@@ -428,7 +428,7 @@
     std::unique_ptr<Connection> connection = std::move(*at);
     idle.erase(at);
     const bool same = std::memcmp(&connection->address, &address, sizeof address) == 0;
-    if (same && WithinIdleTimeout(*connection) && connection->stream.Quiet()) return connection;
+    if (same && WithinIdleTimeout(*connection) && connection->stream.ReadWouldBlock()) return connection;
     Destroy(std::move(connection));
   }
   return nullptr;
@@ -476,7 +476,7 @@
   connection->stream.Abort();
   connection->exchange = nullptr;
   --open_connections_;
-  loop_.Bury(std::move(connection));
+  loop_.DestroyLater(std::move(connection));
 }
 
 }  // namespace umberdyke::net
--- a/src/sidecar/main.cpp
+++ b/src/sidecar/main.cpp
@@ -61,7 +61,7 @@
     std::cerr << "configuration: ROUTER_CONFIG is not set and --config is not given\n";
     return 2;
   }
-  const files::ReadResult read = files::ReadWhole(path, config::kLargestFile);
+  const files::ReadResult read = files::ReadFile(path, config::kLargestFile);
   if (!read.error.empty()) {
     std::cerr << read.error << "\n";
     return 2;
@@ -91,7 +91,7 @@
 
 int Serve(const Options& options, const net::Environment& environment) {
   const net::Config config = net::LoadConfig(environment);
-  const auto log = log::ErrorLog(FormatOf(options, config), LevelOf(options, config), config.name);
+  const auto log = log::StderrLog(FormatOf(options, config), LevelOf(options, config), config.name);
   net::Loop loop;
   net::Sidecar sidecar(loop, config, log);
   const auto end = [&] { sidecar.End([&] { loop.Stop(); }); };
--- a/src/sidecar/sidecar.cpp
+++ b/src/sidecar/sidecar.cpp
@@ -135,7 +135,7 @@
   if (!error.empty()) {
     // An address that cannot be had at all is a mistake; one that is taken may be a predecessor's. A process
     // that runs already goes on trying.
-    if (!running_ && (!waits || !Listener::SaysTaken(error))) {
+    if (!running_ && (!waits || !Listener::IsAddressInUse(error))) {
       throw ConfigError("configuration: listen cannot be listened on: " + error);
     }
     log_->Say(Event::kAddressTaken, config_.name + " cannot listen yet: " + error, {{"why", error}});
@@ -318,7 +318,7 @@
   gone->Close();
   if (gone->flow != 0) counters_.Add("flows_left");
   LeaveFlow(*gone, FlowEnd::kClientGone);
-  loop_.Bury(std::move(gone));
+  loop_.DestroyLater(std::move(gone));
   OnIdle();
   TellDrained();
 }
@@ -430,11 +430,11 @@
   tick_.Start(kTick);
 }
 
-std::string Sidecar::CheckZones(const std::string& text) const {
-  return zones_ ? zones_->Check(text) : ConsoleOwner::CheckZones(text);
+std::string Sidecar::CheckZonePlan(const std::string& text) const {
+  return zones_ ? zones_->Check(text) : ConsoleOwner::CheckZonePlan(text);
 }
 
-void Sidecar::TakeZones(const std::string& text) { zones_->Take(text); }
+void Sidecar::ApplyZonePlan(const std::string& text) { zones_->Take(text); }
 
 ConsoleMetrics Sidecar::CurrentFigures() const {
   ConsoleMetrics figures = metrics_.figures();
@@ -444,7 +444,7 @@
   return figures;
 }
 
-bool Sidecar::SendClientsAway() {
+bool Sidecar::DrainClients() {
   if (!life_.Drain()) return false;
   counters_.Add("drains");
   log_->Say(Event::kClientsSentAway, config_.name + " sends its clients away",
@@ -453,7 +453,7 @@
   return true;
 }
 
-bool Sidecar::TakeClientsBack() {
+bool Sidecar::ReactivateClients() {
   if (!life_.Activate()) return false;
   counters_.Add("activations");
   log_->Say(Event::kClientsTakenBack, config_.name + " takes clients again", {});
@@ -516,7 +516,7 @@
 // Those in the kernel's queue have been accepted by the machine, and may have sent their requests: they are
 // taken first.
 void Sidecar::StopListening() {
-  if (listener_.Waiting() && Clock::now() < take_until_) {
+  if (listener_.HasPendingConnection() && Clock::now() < take_until_) {
     return listener_timer_.Start(kLastAccepts);
   }
   accept_waits_ = false;
--- a/src/sidecar/sidecar.h
+++ b/src/sidecar/sidecar.h
@@ -51,12 +51,12 @@
   bool ReadyToServe() const override { return life_.ready(); }
   std::string_view StateName() const override { return life_.name(); }
   ConsoleMetrics CurrentFigures() const override;
-  bool SendClientsAway() override;
-  bool TakeClientsBack() override;
-  Time ServesSince() const override { return life_.since(); }
-  std::string CheckZones(const std::string& text) const override;
-  void TakeZones(const std::string& text) override;
-  std::string ZoneLines() const override { return zones_ ? zones_->Lines() : ""; }
+  bool DrainClients() override;
+  bool ReactivateClients() override;
+  Time ServingSince() const override { return life_.since(); }
+  std::string CheckZonePlan(const std::string& text) const override;
+  void ApplyZonePlan(const std::string& text) override;
+  std::string ZoneStatusLines() const override { return zones_ ? zones_->Lines() : ""; }
 
   void OnRequest(EdgeConnection& edge, Message message) override;
   void OnStreamingRequest(EdgeConnection& edge, Message head) override;
--- a/src/zookeeper/node_client.cpp
+++ b/src/zookeeper/node_client.cpp
@@ -125,7 +125,7 @@
 void NodeClient::Drop() {
   if (stream_ == nullptr) return;
   stream_->Close();
-  loop_.Bury(std::move(stream_));
+  loop_.DestroyLater(std::move(stream_));
   stream_.reset();
   buffer_.clear();
 }
--- a/src/zookeeper/node_client.h
+++ b/src/zookeeper/node_client.h
@@ -72,7 +72,7 @@
 
 enum class Notice { kCreated, kDeleted, kChanged, kChildren };
 
-class NodeClient : private net::StreamUser {
+class NodeClient : private net::StreamCallbacks {
  public:
   struct Owner {
     std::function<void(Session)> session;
--- a/tests/config/serve_test.cpp
+++ b/tests/config/serve_test.cpp
@@ -46,7 +46,7 @@
     text = Replaced(Replaced(text, "127.0.0.1:80", host + ":80"), "address = \"127.0.0.1\"",
                     "address = \"" + host + "\"");
     descriptions.push_back((folder / (std::string(name) + ".toml")).string());
-    REQUIRE(files::WriteWhole(descriptions.back(), text).empty());
+    REQUIRE(files::WriteFileAtomically(descriptions.back(), text).empty());
   }
   std::ostringstream said;
   const auto ctl = [&](std::vector<std::string> arguments) { return ctl::Run(arguments, {said, said}); };
@@ -134,7 +134,7 @@
     std::string text = ConfigText(discovery.address(), ListText(1, true, {ServerLine("s", "127.0.0.1:9")}));
     text = Replaced(text, "127.0.0.1:0", address(i));
     if (i % 2 == 0) text = Replaced(text, R"("discovery":"ask")", R"("discovery":"push")");
-    REQUIRE(files::WriteWhole(file, text).empty());
+    REQUIRE(files::WriteFileAtomically(file, text).empty());
     return std::make_unique<lab::Process>(std::vector<std::string>{UMBERDYKE_PROGRAM, "--config", file},
                                           file + ".log");
   };
@@ -167,7 +167,7 @@
       config::Edited(config::Edited(good, "\"most_tries\": 5", "\"most_tries\": 9"), ": 300000", ": 900000");
   const fs::path path = fs::temp_directory_path() / ("umberdyke-bad-" + std::to_string(getpid()) + ".json");
   const auto run = [&](const std::string& text, std::vector<std::string> more) {
-    REQUIRE(files::WriteWhole(path.string(), text).empty());
+    REQUIRE(files::WriteFileAtomically(path.string(), text).empty());
     std::vector<std::string> arguments = {UMBERDYKE_PROGRAM, "--config", path.string()};
     arguments.insert(arguments.end(), more.begin(), more.end());
     lab::Process process(arguments, path.string() + ".log");
--- a/tests/config/tool_test.cpp
+++ b/tests/config/tool_test.cpp
@@ -30,7 +30,7 @@
   ~Folder() { fs::remove_all(path); }
   std::string At(const std::string& name) const { return (path / name).string(); }
   std::string Put(const std::string& name, const std::string& text) const {
-    REQUIRE(files::WriteWhole(At(name), text).empty());
+    REQUIRE(files::WriteFileAtomically(At(name), text).empty());
     return At(name);
   }
   size_t Count() const {
@@ -165,13 +165,13 @@
   const std::string old_text(777, 'o'), new_text(1234, 'n');
   Failing count(0);
   const std::string path = folder.Put("f", old_text);
-  REQUIRE(files::WriteWhole(path, new_text, count).empty());
+  REQUIRE(files::WriteFileAtomically(path, new_text, count).empty());
   REQUIRE(count.calls() > 10);
   for (int at = 1; at <= count.calls(); ++at) {
     INFO("call " << at);
     folder.Put("f", old_text);
     Failing ops(at);
-    const std::string error = files::WriteWhole(path, new_text, ops);
+    const std::string error = files::WriteFileAtomically(path, new_text, ops);
     // The last call closes the folder, after all is done and synced.
     CHECK(error.empty() == (at == count.calls()));
     const std::string now = config::TextOf(path);
@@ -181,9 +181,10 @@
     CHECK(folder.Count() == 1);
   }
   Failing cut(2, true);
-  CHECK(files::WriteWhole(path, new_text, cut).empty());
+  CHECK(files::WriteFileAtomically(path, new_text, cut).empty());
   CHECK(config::TextOf(path) == new_text);
-  CHECK(files::WriteWhole(folder.At("no/such/f"), "x").find("cannot be written") != std::string::npos);
+  CHECK(files::WriteFileAtomically(folder.At("no/such/f"), "x").find("cannot be written") !=
+        std::string::npos);
 }
 
 TEST_CASE("an upgraded file says the same as before, with a backup, and starts the program", "[tool]") {
--- a/tests/console/console_test.cpp
+++ b/tests/console/console_test.cpp
@@ -131,7 +131,7 @@
     int ends[2];
     REQUIRE(pipe(ends) == 0);
     bool slept = false;
-    const Readable slow(site.loop, ends[0], [&] {
+    const FdWatcher slow(site.loop, ends[0], [&] {
       char byte;
       if (read(ends[0], &byte, 1) == 1) usleep(30'000);
       slept = true;
--- a/tests/emulator/experiment_test.cpp
+++ b/tests/emulator/experiment_test.cpp
@@ -27,7 +27,7 @@
     fs::remove_all(path, ignored);
   }
   std::string Put(const std::string& name, const std::string& text) const {
-    REQUIRE(files::WriteWhole(path + "/" + name, text).empty());
+    REQUIRE(files::WriteFileAtomically(path + "/" + name, text).empty());
     return path + "/" + name;
   }
   const std::string path;
@@ -178,13 +178,13 @@
 
   const std::string out = folder.path + "/report";
   REQUIRE(WriteReport(plan, result.cells, out).empty());
-  const std::string page = files::ReadWhole(out + "/page.html", 64 << 20).text;
+  const std::string page = files::ReadFile(out + "/page.html", 64 << 20).text;
   std::size_t drawings = 0;
   for (std::size_t at = 0; (at = page.find("<svg", at)) != std::string::npos; ++at) ++drawings;
   CHECK(drawings == 4);
   CHECK(page.find("does not hold") != std::string::npos);
   CHECK(page.find("src=") == std::string::npos);  // by itself
-  CHECK(files::ReadWhole(out + "/rows.csv", 1 << 20).text.find("p2c,p2c,1,0.5") != std::string::npos);
+  CHECK(files::ReadFile(out + "/rows.csv", 1 << 20).text.find("p2c,p2c,1,0.5") != std::string::npos);
 
   // The same run is the same; a tier that is half as fast again hurts; one seed more is no pair.
   for (const Change& c : Compare(result.cells, result.cells, {"mean_ms", "service"})) {
--- a/tests/fleet/fleet_test.cpp
+++ b/tests/fleet/fleet_test.cpp
@@ -194,7 +194,7 @@
   Agents() : service({"/linen-track", "/linen-track/sidecars"}) {}
   agent::Agent& Start(const std::string& host, const std::string& console = "", agent::Wrong wrong = {}) {
     all.push_back(std::make_unique<agent::Agent>(service.loop, Settings(service.ensemble, host, console),
-                                                 log::NoLog(), wrong));
+                                                 log::NullLog(), wrong));
     all.back()->Start();
     return *all.back();
   }
@@ -337,7 +337,7 @@
   Service service;
   const fleet::Paths paths{"/f"};
   net::Counters counters;
-  const auto log = log::NoLog();
+  const auto log = log::NullLog();
   std::vector<std::unique_ptr<agent::Runner>> runners;
   std::vector<Odd*> duties;
   nodes::NodeClient* raw = nullptr;
@@ -388,16 +388,16 @@
 struct Place : net::ConsoleOwner {
   Place(net::Loop& l, std::string application = "linen-track")
       : loop(l),
-        log(log::NoLog()),
+        log(log::NullLog()),
         console(l, *this, {std::move(application), "front-1", 0, ""}, counters, *log, 8) {
     console.Listen(*net::ParseAddress("127.0.0.1:0"));
   }
   bool ReadyToServe() const override { return true; }
   std::string_view StateName() const override { return "serving"; }
   net::ConsoleMetrics CurrentFigures() const override { return {}; }
-  bool SendClientsAway() override { return true; }
-  bool TakeClientsBack() override { return true; }
-  net::Time ServesSince() const override { return Clock::now(); }
+  bool DrainClients() override { return true; }
+  bool ReactivateClients() override { return true; }
+  net::Time ServingSince() const override { return Clock::now(); }
   agent::ConsoleAnswer Call(const std::string& request) {
     agent::ConsoleClient client(loop);
     std::optional<agent::ConsoleAnswer> answer;
@@ -466,13 +466,13 @@
 // A place that takes words on zones.
 struct Watching : Place {
   using Place::Place;
-  std::string CheckZones(const std::string& text) const override {
+  std::string CheckZonePlan(const std::string& text) const override {
     const auto read = sites::ReadDirective(text, "linen-track", {"east", "west"});
     const auto* why = std::get_if<std::string>(&read);
     return why == nullptr ? "" : *why;
   }
-  void TakeZones(const std::string& text) override { taken.push_back(text); }
-  std::string ZoneLines() const override { return "zone.west=lost\n"; }
+  void ApplyZonePlan(const std::string& text) override { taken.push_back(text); }
+  std::string ZoneStatusLines() const override { return "zone.west=lost\n"; }
   std::vector<std::string> taken;
 };
 
@@ -691,13 +691,13 @@
       (std::filesystem::temp_directory_path() / ("umberdyke-ctl-" + std::to_string(getpid()))).string();
   std::filesystem::create_directories(folder);
   const std::string address = own + ":22000";
-  std::string text = files::ReadWhole(UMBERDYKE_SOURCE "/examples/apps/linen-track-fleet.toml", 1 << 20).text;
+  std::string text = files::ReadFile(UMBERDYKE_SOURCE "/examples/apps/linen-track-fleet.toml", 1 << 20).text;
   const std::string listed = R"(["127.0.0.1:2181", "127.0.0.1:2182", "127.0.0.1:2183"])";
   for (size_t at; (at = text.find(listed)) != std::string::npos;) {
     text.replace(at, listed.size(), "[\"" + address + "\"]");
   }
   const std::string file = folder + "/app.toml";
-  REQUIRE(files::WriteWhole(file, text).empty());
+  REQUIRE(files::WriteFileAtomically(file, text).empty());
   const Ran nobody = Ctl({"fleet", "status", file, "--patience-ms", "300"});
   CHECK(nobody.status == 2);
   CHECK(nobody.errors.find("did not answer within 300 ms") != std::string::npos);
@@ -768,13 +768,14 @@
               ":2110" + n + "\"\nconsole_spare = \"" + own + ":2410" + n + "\"\n";
     }
     file = folder + "/app.toml";
-    REQUIRE(files::WriteWhole(file, text).empty());
+    REQUIRE(files::WriteFileAtomically(file, text).empty());
     const std::string lab = UMBERDYKE_LAB;
     const std::string sidecar = lab.substr(0, lab.rfind('/')) + "/umberdyke";
-    REQUIRE(files::WriteWhole(folder + "/program", "#!/bin/sh\nexec " + lab + " fleet version --bed " +
-                                                       std::to_string(getpid()) + " --logs " + folder +
-                                                       " --sidecar " + sidecar + " -- \"$@\"\n")
-                .empty());
+    REQUIRE(
+        files::WriteFileAtomically(folder + "/program", "#!/bin/sh\nexec " + lab + " fleet version --bed " +
+                                                            std::to_string(getpid()) + " --logs " + folder +
+                                                            " --sidecar " + sidecar + " -- \"$@\"\n")
+            .empty());
     std::filesystem::permissions(folder + "/program", std::filesystem::perms::owner_all);
     Start({lab, "coordinator", "--listen", service, "--most-seconds", "100"});
     for (const char* host : {"a", "b"}) {
--- a/tests/handover/handover_test.cpp
+++ b/tests/handover/handover_test.cpp
@@ -55,7 +55,7 @@
     // hiccup.
     text.replace(text.find("\"tier\":0"), 8, "\"tier\":1");
     if (change) change(&text);
-    REQUIRE(files::WriteWhole(file, text).empty());
+    REQUIRE(files::WriteFileAtomically(file, text).empty());
     processes.push_back(std::make_unique<lab::Process>(
         std::vector<std::string>{"/usr/bin/env", "TMPDIR=" + (folder / run).string(), UMBERDYKE_PROGRAM,
                                  "--config", file},
@@ -63,7 +63,7 @@
     return number;
   }
   std::string Log(int number) const {  // empty until it has begun one
-    return files::ReadWhole((folder / ("config" + std::to_string(number) + ".json.log")).string(), 1 << 20)
+    return files::ReadFile((folder / ("config" + std::to_string(number) + ".json.log")).string(), 1 << 20)
         .text;
   }
   int Call(int number, const std::string& line, Span most = 1s) {
@@ -207,7 +207,9 @@
 TEST_CASE("whatever stands in the way leaves an ordinary start", "[handover]") {
   Place place;
   const std::string path = (place.folder / "run" / ("umberdyke-" + place.host + "-8081.sock")).string();
-  SECTION("leftovers that are no socket") { REQUIRE(files::WriteWhole(path, "left by somebody").empty()); }
+  SECTION("leftovers that are no socket") {
+    REQUIRE(files::WriteFileAtomically(path, "left by somebody").empty());
+  }
   SECTION("a folder under its name") { fs::create_directories(path + "/deep"); }
   SECTION("no folder at all") { fs::remove_all(place.folder / "run"); }
   SECTION("a socket that nobody listens on") { close(Bound(path)); }
@@ -310,8 +312,8 @@
   for (const int number : {old, next}) {
     const std::string file = (place.folder / ("config" + std::to_string(number) + ".json")).string();
     const std::string text = config::TextOf(file);
-    REQUIRE(
-        files::WriteWhole(file, config::Edited(text, place.discovery.address(), moved.address())).empty());
+    REQUIRE(files::WriteFileAtomically(file, config::Edited(text, place.discovery.address(), moved.address()))
+                .empty());
     place.Tell(number, SIGHUP);
   }
   place.Tell(old, SIGTERM);
--- a/tests/membership/service_test.cpp
+++ b/tests/membership/service_test.cpp
@@ -184,7 +184,7 @@
   config.membership = membership;
   const net::Platform platform(config);
   net::Counters counters;
-  const auto log = log::NoLog();
+  const auto log = log::NullLog();
   std::map<std::string, UpstreamState> list;
   int told = 0;
   // One server that the sidecar knew from before, and that is no more.
@@ -283,7 +283,7 @@
   net::Config config;
   const net::Platform platform{config};
   net::Counters counters;
-  const std::shared_ptr<log::Log> log = log::NoLog();
+  const std::shared_ptr<log::Log> log = log::NullLog();
   std::unique_ptr<net::MemberSource> source;
 };
 
@@ -328,7 +328,7 @@
   config.membership->guard_hold = 10s;
   const net::Platform platform(config);
   net::Counters counters;
-  const auto log = log::NoLog();
+  const auto log = log::NullLog();
   std::map<std::string, UpstreamState> list;
   int taken_back = 0, elsewhere = 0;
   const auto source = net::MakeSource(loop, platform, config, {}, counters, *log,
@@ -377,7 +377,7 @@
   net::Config config = net::ParseConfig(net::ConfigText("127.0.0.1:1", "null"), net::NoEnvironment());
   const net::Platform platform(config);
   net::Counters counters;
-  const auto log = log::NoLog();
+  const auto log = log::NullLog();
   const std::string path =
       (std::filesystem::temp_directory_path() / ("umberdyke-list-" + std::to_string(getpid()))).string();
   config.membership.emplace();
@@ -390,7 +390,7 @@
                                          lists.push_back(change.servers.size());
                                        },
                                        [](const std::string&) {}});
-  const auto put = [&](const std::string& text) { REQUIRE(files::WriteWhole(path, text).empty()); };
+  const auto put = [&](const std::string& text) { REQUIRE(files::WriteFileAtomically(path, text).empty()); };
   const auto settle = [&] { loop.RunUntil([] { return false; }, 30ms); };
   put(net::ListText(1, true, {net::ServerLine("a", "127.0.0.1:1"), net::ServerLine("b", "127.0.0.1:2")}));
   source->Watch(true);
--- a/tests/net/crossings_test.cpp
+++ b/tests/net/crossings_test.cpp
@@ -89,11 +89,11 @@
   ask("three");
   CHECK(peer != before);
   before->Answer(200, "two");  // crosses the third request
-  site.loop.Settle();
+  site.loop.RunReady();
   answer("three");
   REQUIRE(site.Until([&] { return client->answers.size() == 3; }));
   CHECK(client->answers[2].body == "three");
-  site.loop.Pass(30ms);
+  site.loop.AdvanceTime(30ms);
   ask("four");
   CHECK(peer->last.Find("X-Request-ID") != nullptr);
   CHECK(site.real[0]->peers.size() == 3);  // settled: one of them serves again
@@ -105,10 +105,10 @@
   site.Script([](Party::Peer& peer) { peer.Answer(200, *peer.last.Find("X-Request-ID")); });
   for (const bool unread : {false, true}) {
     CHECK(site.Ask(Look("4000", "one")).body == "one");
-    site.loop.Pass(50ms);
+    site.loop.AdvanceTime(50ms);
     Party::Peer& peer = *site.real[0]->peers.back();
     peer.Reply("HTTP/1.1 20");
-    if (!unread) site.loop.Settle();
+    if (!unread) site.loop.RunReady();
     CHECK(site.Ask(Look("4000", "two")).body == "two");
     CHECK(site.Until([&] { return peer.ended; }));
   }
@@ -177,7 +177,7 @@
   site.Tell(ListText(
       1, true,
       {ServerLine("s0", site.real[0]->address(), "draining"), ServerLine("other", other.address())}));
-  site.loop.Settle();
+  site.loop.RunReady();
   held->stream.Reset();  // may have run
   REQUIRE(site.Until([&] { return client->answers.size() == 1; }));
   CHECK(client->answers[0].status == 502);
@@ -206,7 +206,7 @@
   REQUIRE(site.Until([&] { return watch != nullptr; }));
   site.watch = watch;
   site.Tell(ListText(1, true, {ServerLine("s0", site.real[0]->address())}));  // leaves out s1
-  site.loop.Settle();
+  site.loop.RunReady();
   for (size_t i = 1; i <= 20; ++i) {
     client->Send(Look("4000", "r" + std::to_string(i)));
     REQUIRE(site.Until([&] { return client->answers.size() == i; }));
@@ -234,21 +234,21 @@
   before->stream.Reset();
   std::vector<std::unique_ptr<Client>> idle;
   for (int i = 0; i < 30; ++i) idle.push_back(site.Connect());
-  site.loop.Pass(500ms);
+  site.loop.AdvanceTime(500ms);
   down = false;
   for (int i = 0; i < 30; ++i) idle.push_back(site.Connect());
-  site.loop.Pass(2s);
+  site.loop.AdvanceTime(2s);
   REQUIRE(site.watch != before);
   site.Tell(ListText(2, false, {ServerLine("s0", site.real[0]->address(), "draining")}));
-  site.loop.Settle();
+  site.loop.RunReady();
   for (int i = 0; i < 10; ++i) idle.push_back(site.Connect());
-  site.loop.Pass(2s);
+  site.loop.AdvanceTime(2s);
   for (int i = 0; i < 10; ++i) CHECK(Settled(site.Ask(Look("4000", "r" + std::to_string(i))).status));
   CHECK(site.real[0]->requests == 0);
   CHECK(site.real[1]->requests > 0);
   bool drained = false;
   site.sidecar->End([&] { drained = true; });
-  site.loop.Pass(3600ms);
+  site.loop.AdvanceTime(3600ms);
   CHECK(drained);
 }
 
@@ -296,7 +296,7 @@
   std::vector<std::unique_ptr<Client>> clients;
   for (int i = 0; i < kSidecars; ++i) {
     const std::string own = Replaced(text, "8c1f30d27a5be964", "8c1f30d27a5be9" + std::to_string(10 + i));
-    sidecars.push_back(std::make_unique<Sidecar>(loop, ParseConfig(own, NoEnvironment()), log::NoLog()));
+    sidecars.push_back(std::make_unique<Sidecar>(loop, ParseConfig(own, NoEnvironment()), log::NullLog()));
     clients.push_back(std::make_unique<Client>(loop, sidecars.back()->address()));
   }
   REQUIRE(loop.RunUntil([&] { return watches.size() == kSidecars; }, 10s));
@@ -309,12 +309,12 @@
       for (const auto& watch : watches) {
         if (passed % 1s == 0ms) watch->Reply("1\r\n\n\r\n");
       }
-      loop.Pass(10ms);
+      loop.AdvanceTime(10ms);
     }
   };
   run(10s, 50);
   const double full = served / 10.0 / kWarm;  // a second, at a warm one
-  const auto started = std::chrono::system_clock::now().time_since_epoch() + Clock::ahead;
+  const auto started = std::chrono::system_clock::now().time_since_epoch() + Clock::test_offset;
   const std::string line = ListText(
       2, false,
       {Replaced(cold, "\"started_ms\":0",
@@ -371,9 +371,9 @@
   rests->Send("GET /-/ready HTTP/1.1\r\n\r\n");
   REQUIRE(site.Until([&] { return rests->answers.size() == 1; }));
   site.End();
-  site.loop.Pass(600ms);
+  site.loop.AdvanceTime(600ms);
   rests->Send(Once("after"));
-  site.loop.Pass(850ms);
+  site.loop.AdvanceTime(850ms);
   CHECK(before->answers.size() == 1);
   CHECK(rests->answers.size() == 2);
 }
@@ -390,10 +390,10 @@
   const auto client = site.Connect();
   REQUIRE(site.Until([&] { return client->up; }));
   site.End();
-  site.loop.Pass(650ms);
+  site.loop.AdvanceTime(650ms);
   client->Send(Look("900", "one") + Look("900", "two") + Look("900", "three"));
   REQUIRE(site.Until([&] { return held != nullptr; }));
-  site.loop.Pass(180ms);  // connections at rest are closed by now
+  site.loop.AdvanceTime(180ms);  // connections at rest are closed by now
   held->Answer(200, "one");
   REQUIRE(site.Until([&] { return client->ended; }));
   REQUIRE(client->answers.size() == 3);
@@ -414,9 +414,9 @@
   client->Send(Once("one") + Once("two") + Once("three"));
   REQUIRE(site.Until([&] { return site.Requests() == 1; }));
   site.End();
-  site.loop.Pass(850ms);
+  site.loop.AdvanceTime(850ms);
   client->Send(Once("four"));
-  site.loop.Pass(690ms);
+  site.loop.AdvanceTime(690ms);
   CHECK(client->answers.size() == 4);
   CHECK(client->ended);
   CHECK(site.Requests() == 2);  // the time of the first was up at 0.9 s
@@ -432,9 +432,9 @@
     client->Send(Look("900", "first") + request.substr(0, part));
     REQUIRE(site.Until([&] { return client->answers.size() == 1; }));
     site.End();
-    site.loop.Pass(850ms);
+    site.loop.AdvanceTime(850ms);
     client->Send(request.substr(part));
-    site.loop.Settle();
+    site.loop.RunReady();
     CHECK(client->answers.size() == 2);
     CHECK(client->ended);
   }
@@ -442,7 +442,7 @@
 
 // Lets time pass at one stroke, as after a stall: what is due then runs before anything is read.
 void Stall(Loop& loop, std::chrono::milliseconds time) {
-  Clock::ahead += time;
+  Clock::test_offset += time;
   uv_update_time(loop.raw());
   const auto nearer = [](uv_handle_t* handle, void* by) {
     if (uv_handle_get_type(handle) != UV_TIMER || uv_is_active(handle) == 0) return;
@@ -460,16 +460,16 @@
           "[crossings]") {
   ShortSite site(1, 64, BetweenTiers);  // eight clients at once; its server never answers
   site.End();
-  site.loop.Pass(600ms);
+  site.loop.AdvanceTime(600ms);
   std::vector<std::unique_ptr<Client>> clients;
   for (int i = 0; i < 11; ++i) {
     clients.push_back(site.Connect());
     clients.back()->Send(Once("r" + std::to_string(i)));
   }
   REQUIRE(site.Until([&] { return site.sidecar->counters().Of("flows_taken") == 8; }));
-  site.loop.Pass(600ms);
+  site.loop.AdvanceTime(600ms);
   Stall(site.loop, 240ms);  // across the moment in which all that is open has its answer
-  site.loop.Pass(100ms);
+  site.loop.AdvanceTime(100ms);
   for (const auto& client : clients) CHECK(client->answers.size() == 1);
 }
 
@@ -485,17 +485,17 @@
     REQUIRE(site.Until([&] { return (*client)->answers.size() == 1; }));
   }
   site.End();
-  site.loop.Pass(600ms);
+  site.loop.AdvanceTime(600ms);
   unread->Send(Look("900", "unread"));  // in the kernel: nothing is read before connections are closed
   Stall(site.loop, 250ms);
-  site.loop.Pass(30ms);
+  site.loop.AdvanceTime(30ms);
   CHECK(unread->answers.size() == 2);
   CHECK(late->ended);
   late->Send(Look("900", "late"));
-  site.loop.Settle();
+  site.loop.RunReady();
   CHECK(late->answers.size() == 1);
   CHECK(site.Requests() == 3);
-  site.loop.Pass(450ms);
+  site.loop.AdvanceTime(450ms);
   CHECK(site.drained);
 }
 
@@ -509,13 +509,13 @@
   REQUIRE(site.Until([&] { return client->up; }));
   client->stream.Pause();
   client->Send(Replaced(Look(), "Host: s", "Connection: close"));
-  site.loop.Settle();
+  site.loop.RunReady();
   for (int i = 0; i < 10; ++i) {
     client->Send(std::string(20'000, 'y'));
-    site.loop.Pass(50ms);
+    site.loop.AdvanceTime(50ms);
   }
   client->stream.Read();
-  site.loop.Settle();
+  site.loop.RunReady();
   REQUIRE(client->answers.size() == 1);
   CHECK(client->answers[0].body == body);
 }
@@ -533,10 +533,10 @@
   }
   REQUIRE(site.Until([&] { return held.size() == 8; }));
   site.End();
-  site.loop.Pass(850ms);
+  site.loop.AdvanceTime(850ms);
   site.Script([](Party::Peer& peer) { peer.Answer(200, "ok"); });
   for (Party::Peer* peer : held) peer->Answer(200, "ok");
-  site.loop.Pass(100ms);
+  site.loop.AdvanceTime(100ms);
   for (const auto& client : clients) {
     REQUIRE(client->answers.size() == 1);
     CHECK(Settled(client->answers[0].status));  // in the time that is left the module may turn it down
@@ -548,7 +548,7 @@
   Site site(1);
   site.Script([](Party::Peer& peer) { peer.Answer(200, "ok"); });
   REQUIRE(site.Ask(Look()).status == 200);  // the way to the server is open
-  site.loop.Settle();                       // and the connection of the one that asked has gone
+  site.loop.RunReady();                     // and the connection of the one that asked has gone
   const int client = socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0);
   rlimit before{};
   getrlimit(RLIMIT_NOFILE, &before);
@@ -560,7 +560,7 @@
   const int connected = connect(client, reinterpret_cast<const sockaddr*>(&address), sizeof(sockaddr_in));
   const std::string request = Look("4000", "waits");
   const ssize_t sent = send(client, request.data(), request.size(), 0);
-  site.loop.Pass(500ms);
+  site.loop.AdvanceTime(500ms);
   std::string answer(4096, 0);
   const ssize_t early = recv(client, answer.data(), answer.size(), MSG_DONTWAIT);
   const int why = errno;
@@ -574,7 +574,7 @@
   CHECK(why == EAGAIN);
   CHECK(failed > 0);
   CHECK(failed < 20);  // and the loop is not kept busy by it
-  site.loop.Pass(200ms);
+  site.loop.AdvanceTime(200ms);
   const ssize_t count = recv(client, answer.data(), answer.size(), MSG_DONTWAIT);
   CHECK(answer.substr(0, 15) == "HTTP/1.1 200 OK");
   CHECK(count > 0);
@@ -601,11 +601,11 @@
     const auto client = site.Connect();
     client->Send(Look("4000", "waits") + (pipelined ? ManyBehind() : ""));
     REQUIRE(site.Until([&] { return site.sidecar->counters().Of("flows_taken") == 1; }));
-    site.loop.Settle();
+    site.loop.RunReady();
     client->stream.Close();
-    site.loop.Settle();
+    site.loop.RunReady();
     site.Tell(ListText(2, false, {ServerLine("s", server.address())}));
-    site.loop.Pass(2s);
+    site.loop.AdvanceTime(2s);
     INFO(pipelined);
     CHECK(server.requests == 0);
     CHECK(site.sidecar->counters().Of("flows_left") == 1);
@@ -628,11 +628,11 @@
     REQUIRE(site.Until([&] { return site.sidecar->counters().Of("discovery_changes") == 1; }));
     held->Answer(503, "", {{"X-Not-Processed", "1"}});
     REQUIRE(site.Until([&] { return site.sidecar->counters().Of("attempts_rejected") == 1; }));
-    site.loop.Settle();
+    site.loop.RunReady();
     client->stream.Close();
-    site.loop.Settle();
+    site.loop.RunReady();
     site.Tell(ListText(3, false, {ServerLine("other", other.address())}));
-    site.loop.Pass(2s);
+    site.loop.AdvanceTime(2s);
     INFO(pipelined);
     CHECK(other.requests == 0);
     CHECK(site.Requests() == 1);
@@ -700,9 +700,9 @@
     Gate gate;
     Site site(0, 1024, NoEnvironment(), AwaitConnects);
     const auto client = SendToLate(&site, gate, pipelined ? ManyBehind() : "");
-    site.loop.Settle();
+    site.loop.RunReady();
     client->stream.Close();
-    site.loop.Settle();
+    site.loop.RunReady();
     gate.Open();
     std::string brought;
     site.loop.RunUntil([&] { return !(brought += gate.Brought()).empty(); }, 2s);
@@ -767,7 +767,7 @@
   Gate gate;
   Site site(1, 1024, NoEnvironment(), ShortWindow);
   const auto client = SendTwice(&site, gate.address, 4);
-  site.loop.Pass(960ms);
+  site.loop.AdvanceTime(960ms);
   CHECK(client->answers.size() == 1);  // and the answer is not held back
   gate.Open();
   std::string brought;
@@ -782,7 +782,7 @@
   other.Hold();
   const auto client = SendTwice(&site, other.address(), 60'000);
   REQUIRE(site.Until([&] { return !other.peers.empty(); }));
-  site.loop.Pass(960ms);
+  site.loop.AdvanceTime(960ms);
   CHECK(client->answers.size() == 1);
   other.peers[0]->stream.Read();
   REQUIRE(site.Until([&] { return other.peers[0]->ended; }));
@@ -806,7 +806,7 @@
   REQUIRE(site.Until([&] { return site.sidecar->counters().Of("connections_opened") == 1; }));
   site.Tell(ListText(3, false, {ServerLine("s0", site.real[0]->address())}));
   REQUIRE(site.Until([&] { return site.Requests() == 1; }));  // the copy, which nobody answers
-  site.loop.Pass(960ms);
+  site.loop.AdvanceTime(960ms);
   gate.Open();
   std::string brought;
   site.loop.RunUntil([&] { return !(brought += gate.Brought()).empty(); }, 2s);
@@ -819,7 +819,7 @@
   Gate gate;
   Site site(0, 1024, NoEnvironment(), AwaitConnects);
   const auto client = SendToLate(&site, gate);
-  site.loop.Pass(1500ms);
+  site.loop.AdvanceTime(1500ms);
   gate.Open();
   std::string brought;
   const std::string_view name = "X-Timeout-Ms: ";
@@ -838,9 +838,9 @@
     const auto client = site.Connect();
     client->Send(Once("held", "4000", std::string(60'000, 'x')) + (pipelined ? ManyBehind() : ""));
     REQUIRE(site.Until([&] { return !site.real[0]->peers.empty(); }));
-    site.loop.Settle();
+    site.loop.RunReady();
     client->stream.Close();
-    site.loop.Pass(100ms);
+    site.loop.AdvanceTime(100ms);
     INFO(pipelined);
     Party::Peer& peer = *site.real[0]->peers[0];
     peer.stream.Read();
--- a/tests/net/overload_process_test.cpp
+++ b/tests/net/overload_process_test.cpp
@@ -41,7 +41,7 @@
       const std::string own = R"("peer_listen":")" + peers_at[i] + R"(","peers":[)" + peers + "],";
       text = Replaced(text, R"("known":)", own + R"("known":)");
       const std::string file = folder + "/" + std::to_string(i) + ".json";
-      REQUIRE(files::WriteWhole(file, text).empty());
+      REQUIRE(files::WriteFileAtomically(file, text).empty());
       processes.push_back(std::make_unique<lab::Process>(
           std::vector<std::string>{UMBERDYKE_PROGRAM, "--config", file}, file + ".log"));
     }
--- a/tests/net/overload_test.cpp
+++ b/tests/net/overload_test.cpp
@@ -47,7 +47,7 @@
   }
 
   void Start(const std::string& config) {
-    sidecars.push_back(std::make_unique<Sidecar>(loop, ParseConfig(config, NoEnvironment()), log::NoLog()));
+    sidecars.push_back(std::make_unique<Sidecar>(loop, ParseConfig(config, NoEnvironment()), log::NullLog()));
   }
   int Behind() const {
     return static_cast<int>(std::count_if(sidecars.begin(), sidecars.end(), [](const auto& s) {
@@ -65,7 +65,7 @@
         clients.back()->Send(Look("4000", "r" + std::to_string(clients.size())));
       }
     }
-    loop.Pass(1s);
+    loop.AdvanceTime(1s);
     return servers[1].requests - before;
   }
 
@@ -80,12 +80,12 @@
 TEST_CASE("sidecars whose calls to discovery were refused do not keep it overloaded", "[overload]") {
   for (int seed = 1; seed <= 5; ++seed) {
     Tier tier(false, seed);
-    tier.loop.Pass(20s);
+    tier.loop.AdvanceTime(20s);
     tier.discovery.Down();
-    tier.loop.Pass(4s);
+    tier.loop.AdvanceTime(4s);
     tier.discovery.Up();
     tier.Drain();
-    tier.loop.Pass(15s);
+    tier.loop.AdvanceTime(15s);
     INFO("seed " << seed);
     CHECK(tier.Behind() == 0);
   }
@@ -96,12 +96,12 @@
 TEST_CASE("sidecars that discovery keeps waiting learn of a drain from their peers", "[overload]") {
   for (int seed = 1; seed <= 5; ++seed) {
     Tier tier(true, seed);
-    tier.loop.Pass(20s);
+    tier.loop.AdvanceTime(20s);
     tier.discovery.Down();
-    tier.loop.Pass(4s);
+    tier.loop.AdvanceTime(4s);
     tier.discovery.Up();
     tier.Drain();
-    tier.loop.Pass(6s);
+    tier.loop.AdvanceTime(6s);
     INFO("seed " << seed);
     CHECK(tier.Behind() > 0);
     CHECK(tier.SentToDraining() == 0);
@@ -112,12 +112,12 @@
 TEST_CASE("a sidecar whose peer address is taken listens there once it is free", "[overload]") {
   Tier tier(true, 1);
   const auto config = ParseConfig(tier.configs[0], NoEnvironment());
-  Sidecar second(tier.loop, config, log::NoLog());
-  tier.loop.Pass(2s);
+  Sidecar second(tier.loop, config, log::NullLog());
+  tier.loop.AdvanceTime(2s);
   const auto tries = second.counters().Of("peers_not_heard");
   CHECK(tries > 1);
   tier.sidecars.erase(tier.sidecars.begin());
-  tier.loop.Pass(2s);
+  tier.loop.AdvanceTime(2s);
   CHECK(second.counters().Of("peers_not_heard") <= tries + 1);
 }
 
--- a/tests/net/site.h
+++ b/tests/net/site.h
@@ -38,7 +38,7 @@
         "hard_limit_us":4000000,"points":6}]}})";
 }
 
-class Client : public StreamUser {
+class Client : public StreamCallbacks {
  public:
   Client(Loop& loop, const Address& to) : stream(loop, this) { stream.Connect(to); }
   void Send(const std::string& bytes) {
@@ -118,7 +118,7 @@
     }
     std::string text = ConfigText(discovery.address(), ListText(1, true, lines), descriptors);
     if (change) change(&text);
-    sidecar = std::make_unique<Sidecar>(loop, ParseConfig(text, environment), log::NoLog());
+    sidecar = std::make_unique<Sidecar>(loop, ParseConfig(text, environment), log::NullLog());
   }
   void Script(std::function<void(Party::Peer&)> script) {
     for (auto& server : real) server->script = script;
--- a/tests/net/watch_test.cpp
+++ b/tests/net/watch_test.cpp
@@ -31,7 +31,7 @@
   bool TellsWithin(Span time) {
     for (Span passed{}; passed < time; passed += 50ms) {
       if (Knows()) return true;
-      loop.Pass(50ms);
+      loop.AdvanceTime(50ms);
     }
     return Knows();
   }
@@ -49,7 +49,7 @@
       const auto beats = [&](Span time) {
         for (; time > 0ms; time -= 1s) {
           site.watch->Reply(Chunk("\n"));
-          site.loop.Pass(std::min<Span>(time, 1s));
+          site.loop.AdvanceTime(std::min<Span>(time, 1s));
         }
       };
       beats(before);
@@ -94,7 +94,7 @@
     if (first == nullptr) first = &peer;
   };
   site.watch->stream.Close();
-  site.loop.Pass(3500ms);
+  site.loop.AdvanceTime(3500ms);
   REQUIRE(first != nullptr);
   CHECK_FALSE(first->ended);
   first->Reply(kHead + Chunk(site.Drain() + "\n"));
@@ -114,7 +114,7 @@
       peer.stream.Reset();
     };
     site.watch->stream.Close();
-    for (int i = 0; i < 60; ++i) site.loop.Pass(1s);
+    for (int i = 0; i < 60; ++i) site.loop.AdvanceTime(1s);
     CHECK(site.discovery.requests < 150);  // and it is not pressed meanwhile
     down = false;
     INFO(refuses);
@@ -136,12 +136,12 @@
       waits = &peer;
     };
     site.watch->stream.Close();
-    for (int i = 0; i < 30; ++i) site.loop.Pass(1s);
+    for (int i = 0; i < 30; ++i) site.loop.AdvanceTime(1s);
     down = false;
-    for (int i = 0; i < 60 && waits == nullptr; ++i) site.loop.Pass(50ms);
+    for (int i = 0; i < 60 && waits == nullptr; ++i) site.loop.AdvanceTime(50ms);
     REQUIRE(waits != nullptr);
     INFO(silent);
-    site.loop.Pass(silent ? 2310ms : 2s);
+    site.loop.AdvanceTime(silent ? 2310ms : 2s);
     if (!silent) waits->Answer(503, "");
     CHECK(site.TellsWithin(300ms));
   }
@@ -161,7 +161,7 @@
   REQUIRE(site.Until([&] { return site.sidecar->counters().Of("discovery_changes") == 1; }));
   CHECK(site.sidecar->counters().Of("discovery_unreadable") == 1);
   CHECK_FALSE(first->ended);
-  site.loop.Pass(500ms);
+  site.loop.AdvanceTime(500ms);
   REQUIRE(site.discovery.requests == 2);
   CHECK(site.watch->last.target == "/api/targets?stream=1&index=1");
   CHECK(site.sidecar->counters().Of("discovery_changes") == 2);
@@ -178,7 +178,7 @@
   site.Tell("no JSON");
   for (int i = 0; i < 60; ++i) {
     for (const auto& peer : site.discovery.peers) peer->Reply(Chunk("\n"));
-    site.loop.Pass(1s);
+    site.loop.AdvanceTime(1s);
   }
   CHECK(site.discovery.requests > 5);
   CHECK(site.discovery.requests < 20);
@@ -222,7 +222,7 @@
   }
   for (const char c : indented + "\n") {
     site.watch->Reply(Chunk(std::string(1, c)));
-    site.loop.Settle();
+    site.loop.RunReady();
   }
   CHECK(site.Knows());
   CHECK(site.sidecar->counters().Of("discovery_unreadable") == 0);
@@ -236,10 +236,10 @@
 TEST_CASE("where lists are pushed a process serves once it has the list", "[watch]") {
   WatchedSite site(Push);
   REQUIRE(site.Until([&] { return site.watch != nullptr; }));
-  site.loop.Pass(1s);
+  site.loop.AdvanceTime(1s);
   CHECK(site.Ask("GET /-/ready HTTP/1.1\r\n\r\n").status == 0);  // nobody listens yet
   site.watch->Reply(Chunk(site.Drain(true) + "\n"));
-  site.loop.Settle();
+  site.loop.RunReady();
   CHECK(site.Ask("GET /-/ready HTTP/1.1\r\n\r\n").status == 200);
   for (int i = 0; i < 20; ++i) CHECK(Settled(site.Ask(Look()).status));
   CHECK(site.real[0]->requests > 0);
@@ -255,7 +255,7 @@
       Chunk(ListText(1, true,
                      {ServerLine("s0", site.real[0]->address()), ServerLine("s1", site.real[1]->address())}) +
             "\n"));
-  site.loop.Settle();
+  site.loop.RunReady();
   bool down = true;
   site.discovery.script = [&](Party::Peer& peer) {
     down ? peer.stream.Reset() : peer.Reply(kHead + Chunk(site.Drain() + "\n"));
@@ -266,10 +266,10 @@
     for (auto& peer : site.discovery.peers) {
       if (peer->stream.open()) peer->stream.Reset();
     }
-    site.loop.Pass(away);
+    site.loop.AdvanceTime(away);
     const auto before = site.sidecar->counters().Of("discovery_changes");
     down = false;
-    site.loop.Pass(250ms);
+    site.loop.AdvanceTime(250ms);
     CHECK(site.sidecar->counters().Of("discovery_changes") == before + 1);
   }
 }
@@ -281,7 +281,7 @@
     site.discovery.script = [&](Party::Peer& peer) {
       if (refuses) peer.stream.Reset();
     };
-    site.loop.Pass(5s);
+    site.loop.AdvanceTime(5s);
     INFO(refuses);
     CHECK(site.Ask("GET /-/ready HTTP/1.1\r\n\r\n").status == 200);
     site.discovery.script = [&](Party::Peer& peer) { peer.Reply(kHead + Chunk(site.Drain() + "\n")); };
--- a/tests/passing/passing_test.cpp
+++ b/tests/passing/passing_test.cpp
@@ -34,7 +34,7 @@
 }
 
 // A peer that reads raw bytes, at its own pace, and lets the test look at them.
-class Raw : public StreamUser {
+class Raw : public StreamCallbacks {
  public:
   Raw(Loop& loop, const Address& to) : stream(loop, this) { stream.Connect(to); }
   void OnConnected(bool) override {
@@ -51,7 +51,7 @@
 };
 
 // A server that reads a request of any length and answers with the body's size.
-class Sink : public StreamUser {
+class Sink : public StreamCallbacks {
  public:
   explicit Sink(Loop& loop) : loop_(loop), listener_(loop, [this] { Come(); }) {
     listener_.Listen(*ParseAddress("127.0.0.1:0"));
