--- a/src/flow/decisions.cpp
+++ b/src/flow/decisions.cpp
@@ -98,9 +98,9 @@
   if (!due_.empty()) timer_.Start(std::max(due_.top().at - Clock::now(), Span::zero()));
 }
 
-void Decisions::OnListChange(const ListChange& change) {
+void Decisions::OnListChange(const ServerListEvent& change) {
   std::vector<UpstreamEntry> entries;
-  for (const ListChange::Entry& entry : change.entries) {
+  for (const ServerListEvent::Entry& entry : change.entries) {
     UpstreamEntry e;
     e.id = entry.server;
     e.state = entry.listed.state;
--- a/src/flow/decisions.h
+++ b/src/flow/decisions.h
@@ -53,7 +53,7 @@
   Decisions(Loop& loop, const Config& config, Counters& counters, ActionHandler& handler);
 
   int Avoided() const { return balancer_->Avoided(ToMicros(Clock::now())); }
-  void OnListChange(const ListChange& change);
+  void OnListChange(const ServerListEvent& change);
   void OnNewFlow(const Flow& flow);
   // A long answer has begun; a long body has begun to leave; its last byte is out.
   void OnResponseStart(FlowId flow, int attempt);
--- a/src/membership/server_list.cpp
+++ b/src/membership/server_list.cpp
@@ -6,7 +6,7 @@
 
 void ServerList::Apply(const ServerListChange& listed, ListUpdate kind) {
   for (int i = 0; i < listed.unreadable; ++i) counters_.Add("discovery_unreadable");
-  ListChange change{kind, {}, {}, false};
+  ServerListEvent change{kind, {}, {}, false};
   std::unordered_set<ServerId> listed_ids;
   for (const ListedServer& server : listed.servers) {
     const auto [it, is_new] = ids_by_name_.try_emplace(server.id, next_id_);
@@ -48,7 +48,7 @@
 }
 
 void ServerList::ApplyPeerReport(const std::vector<ClosedServer>& closed, std::int64_t since) {
-  ListChange change{ListUpdate::kChanges, {}, {}, true};
+  ServerListEvent change{ListUpdate::kChanges, {}, {}, true};
   for (const ClosedServer& server : closed) {
     const auto it = ready_by_incarnation_.find(server.incarnation);
     if (it == ready_by_incarnation_.end() || server.version <= since) continue;
--- a/src/membership/server_list.h
+++ b/src/membership/server_list.h
@@ -27,7 +27,7 @@
   ListedServer last_listed;         // as the list told it last
 };
 
-struct ListChange {
+struct ServerListEvent {
   ListUpdate kind;
   struct Entry {
     ServerId server;
@@ -40,7 +40,7 @@
 
 class ServerList {
  public:
-  using ChangeCallback = std::function<void(const ListChange&)>;
+  using ChangeCallback = std::function<void(const ServerListEvent&)>;
   ServerList(Counters& counters, ChangeCallback on_change)
       : counters_(counters), on_change_(std::move(on_change)) {}
 
--- a/src/sidecar/sidecar.cpp
+++ b/src/sidecar/sidecar.cpp
@@ -37,7 +37,7 @@
       platform_(config_),
       metrics_(config_.class_names, config_.console.has_value()),
       streaming_limit_(config_.memory),
-      server_list_(counters_, [this](const ListChange& c) { Told(c); }),
+      server_list_(counters_, [this](const ServerListEvent& c) { Told(c); }),
       servers_(loop, ServerLimits(config_), streaming_limit_, counters_),
       decisions_(loop, config_, counters_, *this),
       request_intake_(platform_, counters_,
@@ -178,7 +178,7 @@
   log_->Say(Event::kModule, "module: " + text, {{"said", text}});
 }
 
-void Sidecar::Told(const ListChange& change) {
+void Sidecar::Told(const ServerListEvent& change) {
   // One line for a run of failures and one for its end: discovery may be down for days.
   if (change.kind == ListUpdate::kFailed) {
     if (watch_failures_++ == 0) {
@@ -200,7 +200,7 @@
     });
   }
   // What leaves gets nothing new: connections at rest there only hold descriptors.
-  for (const ListChange::Entry& entry : change.entries) {
+  for (const ServerListEvent::Entry& entry : change.entries) {
     if (!attempt_router_.AcceptsNewWork(entry.server)) servers_.CloseIdle(entry.server);
   }
 }
--- a/src/sidecar/sidecar.h
+++ b/src/sidecar/sidecar.h
@@ -79,7 +79,7 @@
   void CloseIdleConnections(ServerId server) override { servers_.CloseIdle(server); }
   void LogModuleText(const std::string& text) override;
 
-  void Told(const ListChange& change);
+  void Told(const ServerListEvent& change);
   void AcceptWaiting();
   void LetWait();
   bool ShedOldestEdge();
--- a/src/sidecar/zone_watch.cpp
+++ b/src/sidecar/zone_watch.cpp
@@ -40,9 +40,9 @@
   timer_.Start(kPace);
 }
 
-void ZoneWatch::Listed(const ListChange& change) {
+void ZoneWatch::Listed(const ServerListEvent& change) {
   std::vector<UpstreamEntry> entries;
-  for (const ListChange::Entry& entry : change.entries) {
+  for (const ServerListEvent::Entry& entry : change.entries) {
     UpstreamEntry e;
     e.id = entry.server;
     e.state = entry.listed.state;
--- a/src/sidecar/zone_watch.h
+++ b/src/sidecar/zone_watch.h
@@ -25,7 +25,7 @@
   // `config` has a plan.
   ZoneWatch(Loop& loop, const Config& config, Counters& counters, log::Log& log, Owner owner);
 
-  void Listed(const ListChange& change);
+  void Listed(const ServerListEvent& change);
   void Ended(ServerId server, Outcome outcome, Span took);
   // Whether the module was told that the server's zone gets nothing.
   bool Closed(ServerId server) const;
--- a/tests/net/peer_test.cpp
+++ b/tests/net/peer_test.cpp
@@ -27,7 +27,7 @@
   }
   UpstreamState State() const { return server_list.Find(0)->state; }
   Counters counters;
-  ServerList server_list{counters, [](const ListChange&) {}};
+  ServerList server_list{counters, [](const ServerListEvent&) {}};
 };
 
 // Guards against a datagram that is longer than peers may send, and entries that are lost between two.
--- a/tests/net/rules_test.cpp
+++ b/tests/net/rules_test.cpp
@@ -280,7 +280,7 @@
   Counters counters;
   const Config config = ParseConfig(ConfigText("127.0.0.1:1", "null"), NoEnvironment());
   const Platform platform(config);
-  ServerList server_list(counters, [](const ListChange&) {});
+  ServerList server_list(counters, [](const ServerListEvent&) {});
   for (int i = 0; i < 1000; ++i) {
     server_list.Apply(
         *platform.ParseServerList(ListText(i, true, {ServerLine("s" + std::to_string(i), "127.0.0.1:9")})),
