--- a/src/membership/call_backoff.cpp
+++ b/src/membership/call_backoff.cpp
@@ -7,22 +7,22 @@
 
 using namespace std::chrono_literals;
 
-// A call that waited in vain has waited for 2 s, and about as much work still stands behind it. Later waits
-// are longer, so that a queue that never empties drains; all end, with a call that is answered at once,
-// within the 6 s in which a change has to be learnt once discovery can be reached again.
+// A call that timed out in the queue has waited 2 s, and about as much work is still queued behind it. Later
+// delays are longer to drain a queue that stays full. Each delay plus a call that is answered at once fits
+// into the 6 s within which a change must be known once discovery is reachable again.
 constexpr CallBackoff::Span kMinDelayAfterFirstOverload = 1500ms;
 constexpr CallBackoff::Span kMaxDelayAfterFirstOverload = 3600ms;
 constexpr CallBackoff::Span kMinDelayAfterLaterOverload = 1800ms;
 constexpr CallBackoff::Span kMaxDelayAfterLaterOverload = 5400ms;
-// One that is refused at once leaves no work behind.
+// A call that is refused immediately leaves no work in the queue.
 constexpr CallBackoff::Span kMinDelayAfterRefusal = 1200ms;
 constexpr CallBackoff::Span kMaxDelayAfterRefusal = 3200ms;
-// Calls that many callers make at the same moment are spread by so much for each of them: discovery is sized
-// for a call of each in several seconds.
+// Jitter for calls that all callers make at the same moment, per caller. Discovery is sized to serve one call
+// of each caller within several seconds.
 constexpr CallBackoff::Span kReconnectJitterPerCaller = 10ms;
 constexpr CallBackoff::Span kMaxReconnectJitter = 2s;
 
-// So many callers can fill discovery's queue for good: after a few refusals their waits double.
+// A tier of this size can keep discovery's queue full permanently; its delays double after a few refusals.
 constexpr int kLargeTierCallers = 32;
 constexpr int kQuickRetries = 2;
 
@@ -33,15 +33,15 @@
     case CallFailure::kUnreachable:
       return "discovery could not be reached";
     case CallFailure::kStreamEnded:
-      return "it ended";
+      return "the stream ended";
     case CallFailure::kHeartbeatTimeout:
-      return "it fell silent";
+      return "no heartbeat arrived in time";
     case CallFailure::kMalformed:
-      return "it made no sense";
+      return "the response could not be parsed";
     case CallFailure::kRefused:
-      return "it was refused";
+      return "discovery refused the call";
     case CallFailure::kOverloaded:
-      return "it waited in vain";
+      return "the call timed out in the discovery queue";
   }
   return "";
 }
--- a/src/membership/call_backoff.h
+++ b/src/membership/call_backoff.h
@@ -1,11 +1,11 @@
-// How long to wait before discovery is called again after a call that failed.
+// Backoff between calls to discovery after a failed call.
 //
-// Discovery handles calls one after another. A call that it refuses for want of time has still cost it the
-// work of an answer, so that callers that come back at once keep its queue longer than the time that any call
-// may wait in it, and then nobody is answered any more (metastable overload). After a refusal the wait is
-// therefore long enough for the queue to drain; after other failures it is short.
+// Discovery serves calls one at a time. A call that times out in its queue still costs the work of an answer.
+// If callers retry at once, the queue stays longer than the queue timeout and no call is answered any more
+// (metastable overload). After a refusal the delay is therefore long enough for the queue to drain; after
+// other failures it is short.
 //
-// Pure: no clock, no I/O; it must not depend on connections. Failures say why a call ended; waits are spans.
+// Pure: no clock, no I/O, and no dependency on connections.
 #ifndef UMBERDYKE_MEMBERSHIP_CALL_BACKOFF_H_
 #define UMBERDYKE_MEMBERSHIP_CALL_BACKOFF_H_
 
@@ -15,29 +15,30 @@
 
 namespace umberdyke::net {
 
-// Why a call to discovery ended without being wanted any more.
+// Why a call to discovery failed.
 enum class CallFailure {
   kUnreachable,       // no connection, or the request could not be written
-  kStreamEnded,       // it ended or was reset soon, or after it had told something
-  kHeartbeatTimeout,  // nothing whole came for longer than its heartbeat
-  kMalformed,         // what came is no answer
-  kRefused,           // it was refused at once: discovery is down, or its queue is full
-  kOverloaded,        // it waited in discovery's queue in vain, and its work is done there all the same
+  kStreamEnded,       // it ended or was reset early, or after it had delivered data
+  kHeartbeatTimeout,  // no complete item or heartbeat arrived in time
+  kMalformed,         // the response could not be parsed
+  kRefused,           // refused immediately: discovery is down, or its queue is full
+  kOverloaded,        // timed out in discovery's queue, which does its work all the same
 };
+// Text for log lines.
 const char* Describe(CallFailure failure);
 
 class CallBackoff {
  public:
   using Span = std::chrono::steady_clock::duration;
-  // `callers`: how many of them lose their watches together, this one included.
+  // `callers`: how many sidecars, including this one, lose their watches at the same time.
   CallBackoff(std::uint64_t seed, int callers);
 
-  // A further wait where a watch was lost: others lose theirs in the same moment.
+  // Extra delay after a lost watch, because all sidecars lose theirs at the same moment.
   Span ReconnectJitter();
-  // Discovery has answered, or is another one from now on.
+  // Discovery has answered, or its address has changed.
   void Reset();
-  // The wait before the next call, never in step with other callers.
-  // `peers_current`: other sidecars tell this one what discovery does not.
+  // The randomized delay before the next call.
+  // `peers_current`: other sidecars with a live watch keep this one up to date in the meantime.
   Span NextDelay(CallFailure failure, bool peers_current);
 
  private:
@@ -48,7 +49,7 @@
   const Span max_reconnect_jitter_;
   Span mean_delay_ = kInitialMeanDelay;
   const bool large_tier_;
-  int consecutive_refusals_ = 0;  // in a row
+  int consecutive_refusals_ = 0;
   Span relaxed_mean_delay_ = kInitialRelaxedMeanDelay;
 
   static constexpr Span kInitialMeanDelay = std::chrono::milliseconds(150);
--- a/src/membership/server_list.h
+++ b/src/membership/server_list.h
@@ -1,5 +1,5 @@
-// The list as this sidecar holds it, whichever source tells of it: servers under numbers of its own, their
-// addresses and states.
+// The sidecar's current server list, whatever the membership source: each server has a local numeric id, an
+// address and a state.
 #ifndef UMBERDYKE_MEMBERSHIP_SERVER_LIST_H_
 #define UMBERDYKE_MEMBERSHIP_SERVER_LIST_H_
 
@@ -22,11 +22,12 @@
   std::string id;
   Address address{};
   UpstreamState state = UpstreamState::kReady;
-  Time gone_at{};                   // when the list told that it has gone
-  std::int64_t closed_version = 0;  // the version of the list that told that it drains or is gone
-  ListedServer last_listed;         // as the list told it last
+  Time gone_at{};                   // when it was removed from the list
+  std::int64_t closed_version = 0;  // list version in which it drains or is gone; 0 while ready
+  ListedServer last_listed;         // the last entry for it
 };
 
+// One update of the list, or a failure of its source.
 struct ServerListEvent {
   ListUpdate kind;
   struct Entry {
@@ -34,8 +35,8 @@
     ListedServer listed;
   };
   std::vector<Entry> entries;
-  std::string error;        // of kFailed
-  bool from_peers = false;  // not the source's own word
+  std::string error;        // for kFailed only
+  bool from_peers = false;  // reported by other sidecars, not by the membership source
 };
 
 class ServerList {
@@ -44,23 +45,25 @@
   ServerList(Counters& counters, ChangeCallback on_change)
       : counters_(counters), on_change_(std::move(on_change)) {}
 
-  // What a source tells; the list that the sidecar was started with comes as kCached.
+  // Applies a list or change from the source. The list that the sidecar starts with is passed as kCached.
   void Apply(const ServerListChange& listed, ListUpdate kind);
+  // The source lost its connection and waits for the decision module to request a retry.
   void OnSourceFailure(const std::string& why) { on_change_({ListUpdate::kFailed, {}, why}); }
-  // What other sidecars say has closed by versions later than `since`, which is this list's own: what is
-  // ready here gets nothing new from now on.
+  // Marks ready servers as draining that other sidecars report as closed (draining or gone) in a list version
+  // later than `since`, the version that this sidecar holds.
   void ApplyPeerReport(const std::vector<ClosedServer>& closed, std::int64_t since);
-  // What has closed by later versions than this one, oldest first.
+  // Servers that were closed in versions after `version`, oldest first.
   std::vector<ClosedServer> ClosedSince(std::int64_t version) const;
-  // Null for a number that no list gave.
+  // Null if the id is unknown.
   const ServerRecord* Find(ServerId server) const {
     const auto it = servers_.find(server);
     return it == servers_.end() ? nullptr : &it->second;
   }
   size_t size() const { return servers_.size(); }
-  // Those that the list names now.
+  // Servers currently on the list.
   size_t listed_count() const;
-  // Lets go of servers that have long gone: they are replaced all day, by others with other ids.
+  // Removes records of servers that left the list before `gone_before`. Replacement servers come with new ids
+  // all day, so records would pile up.
   void RemoveGone(Time gone_before);
 
  private:
@@ -70,8 +73,8 @@
   const ChangeCallback on_change_;
   std::unordered_map<ServerId, ServerRecord> servers_;
   std::unordered_map<std::string, ServerId> ids_by_name_;
-  std::unordered_map<IncarnationHash, ServerId> ready_by_incarnation_;  // of those that are ready
-  ServerId next_id_ = 0;                                                // numbers are not used again
+  std::unordered_map<IncarnationHash, ServerId> ready_by_incarnation_;  // ready servers only
+  ServerId next_id_ = 0;                                                // ids are never reused
 };
 
 }  // namespace umberdyke::net
