--- a/tests/net/parser_test.cpp
+++ b/tests/net/parser_test.cpp
@@ -1,4 +1,4 @@
-// Tables of cases for what reads text: HTTP, the platform's requests and answers, discovery, configuration.
+// Table-driven tests of the parsers: HTTP messages, platform responses, the discovery list, configuration.
 #include <unistd.h>
 
 #include <catch2/catch.hpp>
@@ -13,7 +13,7 @@
 namespace umberdyke::net {
 namespace {
 
-TEST_CASE("a message reads the same however it is split", "[http]") {
+TEST_CASE("a message parses the same however its bytes are split", "[http]") {
   const std::string text = "POST /api?x=1 HTTP/1.1\r\nA: b\r\nContent-Length: 5\r\n\r\nhello";
   for (size_t step : {1u, 2u, 7u, 1000u}) {
     HttpParser parser(HttpParser::Kind::kRequest);
@@ -32,7 +32,7 @@
   }
 }
 
-TEST_CASE("input that is no message, or too long, is told apart", "[http]") {
+TEST_CASE("malformed, too long and incomplete messages are told apart", "[http]") {
   const std::string head = "GET /api HTTP/1.1\r\n";
   const std::vector<std::pair<std::string, ParseResult>> cases = {
       {"\x16\x03\x01 hello\r\n\r\n", ParseResult::kMalformed},
@@ -56,8 +56,8 @@
   }
 }
 
-// Guards against a second request hidden in the body of the first: a length that can be read in two ways.
-TEST_CASE("a request whose end can be read in two ways is malformed", "[http]") {
+// Request smuggling: with an ambiguous body length, a second request could hide in the body of the first.
+TEST_CASE("a request with an ambiguous body length is malformed", "[http]") {
   const std::vector<std::string> heads = {
       "Content-Length: 5\r\nTransfer-Encoding: chunked",
       "Transfer-Encoding: chunked\r\nContent-Length: 5",
@@ -93,8 +93,7 @@
   }
 }
 
-// Guards against taking the white space that may stand round a value for a part of it.
-TEST_CASE("white space round a header's value is no part of it", "[http]") {
+TEST_CASE("white space around a header value is not part of it", "[http]") {
   HttpParser parser(HttpParser::Kind::kRequest);
   const std::string text =
       "POST /api HTTP/1.1\r\nA:  b \t \r\nB:\t\r\nTransfer-Encoding: chunked \r\n\r\n2;x=1\r\nok\r\n0\r\nA: "
@@ -105,11 +104,11 @@
   CHECK(*message.Find("A") == "b");
   CHECK(message.Find("B")->empty());
   CHECK(message.body == "ok");
-  CHECK(message.headers.size() == 3);  // what follows the body is none of them
+  CHECK(message.headers.size() == 3);  // the trailer is not a header
 }
 
-// Guards against a long body that is held whole, cut, or told twice.
-TEST_CASE("a long body comes in pieces behind its head, however it is framed and split", "[http]") {
+// A streamed body must not be buffered whole, truncated or delivered twice.
+TEST_CASE("a long body is streamed after its head, however it is framed and split", "[http]") {
   const std::string body(200'000, 'x');
   std::string chunks;
   for (size_t at = 0; at < body.size(); at += 1000) chunks += "3e8\r\n" + body.substr(at, 1000) + "\r\n";
@@ -122,24 +121,24 @@
     for (const size_t step : {size_t{1}, size_t{777}, size_t{16384}}) {
       HttpParser parser(HttpParser::Kind::kResponse);
       parser.StreamLongBodies();
-      std::string got;
-      size_t most = 0;
-      bool headed = false;
+      std::string received;
+      size_t largest_part = 0;
+      bool head_taken = false;
       ParseResult parsed = ParseResult::kIncomplete;
       for (size_t at = 0; at < text.size(); at += step) {
         size_t used = 0;
         parsed = parser.Feed(std::string_view(text).substr(at, step), &used);
         REQUIRE((parsed == ParseResult::kIncomplete || parsed == ParseResult::kComplete));
         if (!parser.is_streaming()) continue;
-        if (!std::exchange(headed, true)) CHECK(parser.TakeHead().status == 200);
+        if (!std::exchange(head_taken, true)) CHECK(parser.TakeHead().status == 200);
         const std::string piece = parser.TakeBodyPart();
-        most = std::max(most, piece.size());
-        got += piece;
+        largest_part = std::max(largest_part, piece.size());
+        received += piece;
       }
       CHECK((parsed == ParseResult::kComplete) == !until_close);
       if (until_close) CHECK(parser.FeedEnd() == ParseResult::kComplete);
-      CHECK(got == body);
-      CHECK(most <= kMaxBufferedBody + step);
+      CHECK(received == body);
+      CHECK(largest_part <= kMaxBufferedBody + step);
       CHECK(parser.Take().body.empty());
     }
   }
@@ -148,19 +147,19 @@
   size_t used = 0;
   CHECK(parser.Feed("HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\n", &used) ==
         ParseResult::kBodyTooLong);
-  HttpParser cut(HttpParser::Kind::kResponse);
-  CHECK(cut.Feed("HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nok", &used) == ParseResult::kIncomplete);
-  CHECK(cut.FeedEnd() == ParseResult::kMalformed);
+  HttpParser truncated(HttpParser::Kind::kResponse);
+  CHECK(truncated.Feed("HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nok", &used) == ParseResult::kIncomplete);
+  CHECK(truncated.FeedEnd() == ParseResult::kMalformed);
 }
 
-TEST_CASE("chunks in a request of HTTP/1.0 are malformed", "[http]") {
+TEST_CASE("a chunked HTTP/1.0 request is malformed", "[http]") {
   HttpParser parser(HttpParser::Kind::kRequest);
   size_t used = 0;
   CHECK(parser.Feed("POST /api HTTP/1.0\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n", &used) ==
         ParseResult::kMalformed);
 }
 
-TEST_CASE("asking for another protocol changes nothing", "[http]") {
+TEST_CASE("protocol upgrades are ignored", "[http]") {
   for (const char* method : {"POST", "CONNECT"}) {
     HttpParser parser(HttpParser::Kind::kRequest);
     const std::string text = std::string(method) + (method[0] == 'P' ? " /api" : " a:1") +
@@ -173,11 +172,12 @@
   }
 }
 
-// An answer without a length ends with its connection, which may also have broken: it is never whole.
-TEST_CASE("an answer is whole, spoilt or goes on", "[http]") {
+// A response without a length ends with its connection, which may also have broken, so its bytes alone never
+// complete it.
+TEST_CASE("a response is complete, malformed or incomplete", "[http]") {
   const std::string interim = "HTTP/1.1 100 Continue\r\n\r\n";
-  std::string many;
-  for (int i = 0; i <= kMaxInterimResponses; ++i) many += interim;
+  std::string too_many_interim;
+  for (int i = 0; i <= kMaxInterimResponses; ++i) too_many_interim += interim;
   const std::string good = "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n";
   const std::vector<std::pair<std::string, ParseResult>> cases = {
       {"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok", ParseResult::kComplete},
@@ -186,7 +186,7 @@
       {"HTTP/1.1 200 OK\r\n\r\nok", ParseResult::kIncomplete},
       {interim + good, ParseResult::kComplete},
       {interim, ParseResult::kIncomplete},
-      {many + good, ParseResult::kMalformed},
+      {too_many_interim + good, ParseResult::kMalformed},
       {"", ParseResult::kIncomplete},
       {"HTTP/1.1 2x0 OK\r\nContent-Length: 0\r\n\r\n", ParseResult::kMalformed},
       {"ICY 200 OK\r\nContent-Length: 0\r\n\r\n", ParseResult::kMalformed},
@@ -205,7 +205,7 @@
   }
 }
 
-TEST_CASE("what a real server's answer means", "[platform]") {
+TEST_CASE("real server responses map to outcomes", "[platform]") {
   const std::vector<std::tuple<int, std::vector<Header>, Outcome>> cases = {
       {200, {}, Outcome::kOk},
       {500, {}, Outcome::kError},
@@ -221,34 +221,35 @@
       {204, {}, Outcome::kError},
   };
   for (const auto& [status, headers, expected] : cases) {
-    Message answer;
-    answer.status = status;
-    answer.headers = headers;
+    Message response;
+    response.status = status;
+    response.headers = headers;
     INFO(status);
-    CHECK(Platform::OutcomeOf(answer) == expected);
+    CHECK(Platform::OutcomeOf(response) == expected);
   }
 }
 
-TEST_CASE("load reports and list lines that make no sense are left out", "[platform]") {
+TEST_CASE("invalid load reports and list entries are ignored", "[platform]") {
   const Config config = ParseConfig(ConfigText("127.0.0.1:1", "null"), NoEnvironment());
   const Platform platform(config);
-  for (const char* bad : {"", "{", "[]", "7", R"({"inflight":"x"})", R"({"util":0.5})", R"({"inflight":-3})",
-                          R"({"queue":1})", R"({"inflight":-3,"queue":2})", R"({"inflight":7,"queue":1e15})",
-                          R"({"inflight":7,"que)", R"({"inflight":null,"queue":2})"}) {
-    Message answer;
-    answer.headers = {{"X-Server-Load", bad}};
-    INFO(bad);
-    CHECK_FALSE(platform.ParseLoadReport(answer));
+  for (const char* invalid :
+       {"", "{", "[]", "7", R"({"inflight":"x"})", R"({"util":0.5})", R"({"inflight":-3})", R"({"queue":1})",
+        R"({"inflight":-3,"queue":2})", R"({"inflight":7,"queue":1e15})", R"({"inflight":7,"que)",
+        R"({"inflight":null,"queue":2})"}) {
+    Message response;
+    response.headers = {{"X-Server-Load", invalid}};
+    INFO(invalid);
+    CHECK_FALSE(platform.ParseLoadReport(response));
   }
-  Message answer;
-  answer.headers = {{"X-Server-Load", R"({"inflight":7,"queue":2,"util":0.61})"}};
-  REQUIRE(platform.ParseLoadReport(answer));
-  CHECK(platform.ParseLoadReport(answer)->in_flight == 7);
-  CHECK(platform.ParseLoadReport(answer)->queue == 2);
-  CHECK_FALSE(platform.ParseLoadReport(answer)->utilization);
+  Message response;
+  response.headers = {{"X-Server-Load", R"({"inflight":7,"queue":2,"util":0.61})"}};
+  REQUIRE(platform.ParseLoadReport(response));
+  CHECK(platform.ParseLoadReport(response)->in_flight == 7);
+  CHECK(platform.ParseLoadReport(response)->queue == 2);
+  CHECK_FALSE(platform.ParseLoadReport(response)->utilization);
 
-  for (const char* bad : {"", "x", "[]", "{}", R"({"servers":7})"})
-    CHECK_FALSE(platform.ParseServerList(bad));
+  for (const char* invalid : {"", "x", "[]", "{}", R"({"servers":7})"})
+    CHECK_FALSE(platform.ParseServerList(invalid));
   const auto list = platform.ParseServerList(ListText(43, false,
                                                       {ServerLine("a", "127.0.0.1:9", "draining", "west"),
                                                        ServerLine("b", "nowhere"), "7", R"({"id":"c"})"}));
@@ -262,7 +263,7 @@
   CHECK_FALSE(list->servers[0].started);
 }
 
-TEST_CASE("a senseless configuration is one plain line that names the value", "[config]") {
+TEST_CASE("an invalid configuration gives a one-line error that names the value", "[config]") {
   const std::string good = ConfigText("127.0.0.1:1", "null");
   REQUIRE_NOTHROW(ParseConfig(good, NoEnvironment()));
   const std::vector<std::tuple<std::string, std::string, std::string>> cases = {
@@ -278,17 +279,17 @@
       {R"("connect_timeout_us":150000)", R"("connect_timeout_us":-1)", "connect_timeout_us"},
       {R"("period_us":5000)", R"("period_us":"soon")", "period_us"},
   };
-  for (const auto& [from, to, named] : cases) {
+  for (const auto& [from, to, named_value] : cases) {
     std::string text = good;
-    const size_t at = text.find(from);
-    REQUIRE(at != std::string::npos);
-    text.replace(at, from.size(), to);
+    const size_t position = text.find(from);
+    REQUIRE(position != std::string::npos);
+    text.replace(position, from.size(), to);
     INFO(from);
     try {
       ParseConfig(text, NoEnvironment());
-      FAIL("it was taken");
+      FAIL("the invalid value was accepted");
     } catch (const ConfigError& error) {
-      CHECK_THAT(error.what(), Catch::Contains(named));
+      CHECK_THAT(error.what(), Catch::Contains(named_value));
       CHECK_THAT(error.what(), !Catch::Contains("\n"));
     }
   }
@@ -296,7 +297,7 @@
   CHECK_THROWS_AS(ParseConfig("no JSON", NoEnvironment()), ConfigError);
 }
 
-TEST_CASE("variables go before the file", "[config]") {
+TEST_CASE("environment variables override the file", "[config]") {
   const Config config = ParseConfig(ConfigText("127.0.0.1:1", "null"), [](const std::string& name) {
     return name == "ROUTER_NAME" ? std::optional<std::string>("n9") : std::nullopt;
   });
@@ -308,8 +309,8 @@
   CHECK(config.zone_names == std::vector<std::string>{"east", "west"});
 }
 
-// ROUTER_DISCOVERY was set before the file was replaced: at a reload it is the file that is new.
-TEST_CASE("at a reload the file's discovery goes before the variable", "[config]") {
+// ROUTER_DISCOVERY was set before the file was replaced, so at a reload the file is the newer source.
+TEST_CASE("at a reload, discovery from the file overrides the variable", "[config]") {
   std::string path = std::filesystem::temp_directory_path() / "umberdyke_XXXXXX";
   close(mkstemp(path.data()));
   const Environment environment = [&](const std::string& name) {
