--- a/src/sidecar/life.h
+++ b/src/sidecar/life.h
@@ -8,16 +8,16 @@
 
 namespace umberdyke::net {
 
-class Life {
+class Lifecycle {
  public:
   enum class State {
     kStarting,  // cannot serve yet
     kServing,
-    kDrained,  // clients are sent elsewhere; what comes all the same is served
-    kEnding,   // told to end: nothing leads back
+    kDrained,       // clients are sent elsewhere; what comes all the same is served
+    kShuttingDown,  // told to end: nothing leads back
   };
   State state() const {
-    if (ending_) return State::kEnding;
+    if (ending_) return State::kShuttingDown;
     if (drained_) return State::kDrained;
     return can_serve_ ? State::kServing : State::kStarting;
   }
@@ -27,7 +27,7 @@
   }
   bool ready() const { return state() == State::kServing; }
 
-  void Serve(Time now) {
+  void StartServing(Time now) {
     can_serve_ = true;
     since_ = now;
   }
@@ -41,7 +41,7 @@
     drained_ = drained_ && ending_;
     return !ending_;
   }
-  bool End() {
+  bool Shutdown() {
     const bool first = !ending_;
     ending_ = true;
     return first;
--- a/src/sidecar/main.cpp
+++ b/src/sidecar/main.cpp
@@ -94,7 +94,7 @@
   const auto log = log::StderrLog(FormatOf(options, config), LevelOf(options, config), config.name);
   net::Loop loop;
   net::Sidecar sidecar(loop, config, log);
-  const auto end = [&] { sidecar.End([&] { loop.Stop(); }); };
+  const auto end = [&] { sidecar.Shutdown([&] { loop.Stop(); }); };
   const net::Signal term(loop, SIGTERM, end);
   const net::Signal interrupt(loop, SIGINT, end);
   const net::Signal reload(loop, SIGHUP,
--- a/src/sidecar/sidecar.cpp
+++ b/src/sidecar/sidecar.cpp
@@ -142,7 +142,7 @@
     begin_timer_.Start(kListenAgain);
     return;
   }
-  life_.Serve(Clock::now());
+  lifecycle_.StartServing(Clock::now());
   const std::string address = PrintAddress(listener_.address());
   log_->Say(Event::kListening,
             config_.name + " listens on " + address + ", tier " + std::to_string(config_.settings.tier),
@@ -195,7 +195,8 @@
   const bool told = change.kind != ListUpdate::kFailed && change.kind != ListUpdate::kCached;
   if (told && (inherited_ || awaits_list_)) {
     loop_.Post(alive_, [this] {
-      const bool begins = std::exchange(awaits_list_, false) && life_.state() == Life::State::kStarting;
+      const bool begins =
+          std::exchange(awaits_list_, false) && lifecycle_.state() == Lifecycle::State::kStarting;
       if (inherited_ || begins) BeginServing();
     });
   }
@@ -256,7 +257,7 @@
 }
 
 void Sidecar::Take(EdgeConnection& edge, Message message, bool long_body) {
-  const bool ready = life_.ready() || replaced();
+  const bool ready = lifecycle_.ready() || replaced();
   std::optional<FlowRequest> request =
       request_intake_(edge, std::move(message), long_body, ready, Leaves(edge));
   if (!request) return;
@@ -445,7 +446,7 @@
 }
 
 bool Sidecar::DrainClients() {
-  if (!life_.Drain()) return false;
+  if (!lifecycle_.Drain()) return false;
   counters_.Add("drains");
   log_->Say(Event::kClientsSentAway, config_.name + " sends its clients away",
             {{"connections", static_cast<std::int64_t>(edges_.size())}});
@@ -454,7 +455,7 @@
 }
 
 bool Sidecar::ReactivateClients() {
-  if (!life_.Activate()) return false;
+  if (!lifecycle_.Activate()) return false;
   counters_.Add("activations");
   log_->Say(Event::kClientsTakenBack, config_.name + " takes clients again", {});
   idle_timer_.Stop();
@@ -470,8 +471,8 @@
   idle_timer_.Start(kIdleSweep);
 }
 
-void Sidecar::End(std::function<void()> drained) {
-  if (!life_.End()) return;
+void Sidecar::Shutdown(std::function<void()> drained) {
+  if (!lifecycle_.Shutdown()) return;
   drained_ = std::move(drained);
   log_->Say(Event::kDrainBegins,
             config_.name + " was told to end: " + std::to_string(flows_.size()) + " flows are open",
--- a/src/sidecar/sidecar.h
+++ b/src/sidecar/sidecar.h
@@ -42,18 +42,18 @@
   // The second address; only where the configuration sets one.
   Address console_address() const { return console_->address(); }
   // Serves on for a while, then ends connections after their answers; `drained` follows once all are closed.
-  void End(std::function<void()> drained);
+  void Shutdown(std::function<void()> drained);
   // Takes discovery's address from a new configuration; where `load` throws, all stays as it was.
   void Reload(const std::function<Config()>& load);
   const Counters& counters() const { return counters_; }
 
  private:
-  bool ReadyToServe() const override { return life_.ready(); }
-  std::string_view StateName() const override { return life_.name(); }
+  bool ReadyToServe() const override { return lifecycle_.ready(); }
+  std::string_view StateName() const override { return lifecycle_.name(); }
   ConsoleMetrics CurrentFigures() const override;
   bool DrainClients() override;
   bool ReactivateClients() override;
-  Time ServingSince() const override { return life_.since(); }
+  Time ServingSince() const override { return lifecycle_.since(); }
   std::string CheckZonePlan(const std::string& text) const override;
   void ApplyZonePlan(const std::string& text) override;
   std::string ZoneStatusLines() const override { return zones_ ? zones_->Lines() : ""; }
@@ -105,13 +105,13 @@
   // came on it, for as long as there is time: what a connection has brought is owed an answer, pipelined or
   // not.
   bool Leaves(const EdgeConnection& edge) const {
-    if (life_.state() == Life::State::kDrained) return true;
+    if (lifecycle_.state() == Lifecycle::State::kDrained) return true;
     return (closing_ || replaced()) && (!edge.HasPipelinedInput() || Clock::now() >= take_until_);
   }
   bool Leaves(const Flow& flow) const { return Leaves(*flow.edge); }
   // Told to end while another process of this sidecar takes what comes.
   bool replaced() const {
-    return life_.state() == Life::State::kEnding && handover_ && handover_->successor();
+    return lifecycle_.state() == Lifecycle::State::kShuttingDown && handover_ && handover_->successor();
   }
 
   Loop& loop_;
@@ -119,7 +119,7 @@
   const std::shared_ptr<log::Log> log_;
   const std::shared_ptr<char> alive_ = std::make_shared<char>();
   Counters counters_;
-  Life life_;
+  Lifecycle lifecycle_;
   const Platform platform_;
   FlowMetrics metrics_;
   StreamingBufferLimit streaming_limit_;
--- a/tests/console/console_test.cpp
+++ b/tests/console/console_test.cpp
@@ -255,21 +255,21 @@
 
 // Guards against two notices that undo one another.
 TEST_CASE("the life of a sidecar goes on from any order of notices", "[console]") {
-  Life life;
-  CHECK(life.state() == Life::State::kStarting);
-  CHECK(life.Drain());
-  life.Serve(Clock::now());
-  CHECK(life.state() == Life::State::kDrained);
-  CHECK(life.Activate());
-  CHECK(life.Activate());
-  CHECK(life.ready());
-  CHECK(life.Drain());
-  CHECK(life.Drain());
-  CHECK(life.End());
-  CHECK_FALSE(life.End());
-  CHECK_FALSE(life.Activate());
-  CHECK_FALSE(life.Drain());
-  CHECK(life.state() == Life::State::kEnding);
+  Lifecycle lifecycle;
+  CHECK(lifecycle.state() == Lifecycle::State::kStarting);
+  CHECK(lifecycle.Drain());
+  lifecycle.StartServing(Clock::now());
+  CHECK(lifecycle.state() == Lifecycle::State::kDrained);
+  CHECK(lifecycle.Activate());
+  CHECK(lifecycle.Activate());
+  CHECK(lifecycle.ready());
+  CHECK(lifecycle.Drain());
+  CHECK(lifecycle.Drain());
+  CHECK(lifecycle.Shutdown());
+  CHECK_FALSE(lifecycle.Shutdown());
+  CHECK_FALSE(lifecycle.Activate());
+  CHECK_FALSE(lifecycle.Drain());
+  CHECK(lifecycle.state() == Lifecycle::State::kShuttingDown);
 }
 
 // Guards against a drain that hides the end, and against an end that the console forgets.
@@ -281,7 +281,7 @@
       [&] { return ParseConfig(ConfigText(site.discovery.address(), "null"), WithConsole()); });
   CHECK(site.Call("GET /v1/readyz").status == 503);
   bool ended = false;
-  site.sidecar->End([&] { ended = true; });
+  site.sidecar->Shutdown([&] { ended = true; });
   CHECK(site.Call("PUT /v1/sidecar/activate").status == 409);
   CHECK(site.Call("GET /v1/metrics").status == 200);
   CHECK(site.Ask(Look()).status == 200);
--- a/tests/net/crossings_test.cpp
+++ b/tests/net/crossings_test.cpp
@@ -195,7 +195,7 @@
   REQUIRE(site.Until([&] { return site.watch != nullptr; }));
   const auto client = site.Connect();
   REQUIRE(site.Until([&] { return client->up; }));
-  site.sidecar->End([] {});
+  site.sidecar->Shutdown([] {});
   Party moved(site.loop);
   Party::Peer* watch = nullptr;
   moved.script = [&](Party::Peer& peer) {
@@ -247,7 +247,7 @@
   CHECK(site.real[0]->requests == 0);
   CHECK(site.real[1]->requests > 0);
   bool drained = false;
-  site.sidecar->End([&] { drained = true; });
+  site.sidecar->Shutdown([&] { drained = true; });
   site.loop.AdvanceTime(3600ms);
   CHECK(drained);
 }
@@ -355,7 +355,7 @@
           if (change) change(text);
         }) {}
   void End() {
-    sidecar->End([this] { drained = true; });
+    sidecar->Shutdown([this] { drained = true; });
   }
   bool drained = false;
 };
--- a/tests/net/rules_test.cpp
+++ b/tests/net/rules_test.cpp
@@ -385,7 +385,7 @@
   const auto kept = site.Connect();
   bool drained = false;
   const Time start = Clock::now();
-  site.sidecar->End([&] { drained = true; });
+  site.sidecar->Shutdown([&] { drained = true; });
   const auto late = site.Connect();  // a new connection after the notice
   // A client with a connection is served for as long as its answer comes before the end is forced.
   site.loop.RunUntil([] { return false; }, 1300ms);
@@ -412,7 +412,7 @@
   client->Send(Look());
   REQUIRE(site.Until([&] { return client->answers.size() == 1; }));
   bool drained = false;
-  site.sidecar->End([&] { drained = true; });
+  site.sidecar->Shutdown([&] { drained = true; });
   client->Send(Look());
   // Past the time at which connections at rest are closed, before the forced end.
   std::this_thread::sleep_for(2600ms);
