--- a/src/flow/admit.cpp
+++ b/src/flow/admit.cpp
@@ -7,8 +7,8 @@
 
 using namespace std::chrono_literals;
 
-constexpr Span kTransit = 2ms;   // the client counts from its send, which was this long ago
-constexpr Span kLastCall = 4ms;  // before the deadline an answer leaves, whatever the module does
+constexpr Span kClientTransitTime = 2ms;  // the client counts from its send, which was this long ago
+constexpr Span kDeadlineMargin = 4ms;     // before the deadline an answer leaves, whatever the module does
 
 }  // namespace
 
@@ -16,14 +16,14 @@
   // A real server tells requests apart by their ids: passed on, this one could get the other's answer.
   if (flows_.Has(request.id)) {
     counters_.Add("requests_of_open_id");
-    refused_(request.request_class);
+    on_invalid_request_(request.request_class);
     edge.SendResponse(Platform::BadRequestResponse({409, "a request with this id is open"}), false);
     return nullptr;
   }
   Flow& flow = flows_.Add(std::move(request));
   flow.edge = &edge;
   edge.flow = flow.id;
-  flow.last_call = std::make_unique<Timer>(loop_, [this, id = flow.id] { last_call_(id); });
+  flow.deadline_timer = std::make_unique<Timer>(loop_, [this, id = flow.id] { on_deadline_(id); });
   flow.receiving_body = flow.request.streaming_body;
   flow.deadline = Clock::now() + flow.request.time_left;
   if (!flow.receiving_body) OnBodyReceived(flow);
@@ -33,19 +33,19 @@
 void FlowAdmission::OnBodyReceived(Flow& flow) const {
   flow.receiving_body = false;
   flow.received = Clock::now();
-  flow.deadline = flow.received + flow.request.time_left - kTransit;
-  Arm(flow);
+  flow.deadline = flow.received + flow.request.time_left - kClientTransitTime;
+  StartDeadlineTimer(flow);
 }
 
-void FlowAdmission::Arm(Flow& flow) const {
-  flow.deadline = std::min(flow.deadline, end_);
-  flow.last_call->Start(std::max<Span>(flow.deadline - kLastCall - Clock::now(), 0ms));
+void FlowAdmission::StartDeadlineTimer(Flow& flow) const {
+  flow.deadline = std::min(flow.deadline, final_deadline_);
+  flow.deadline_timer->Start(std::max<Span>(flow.deadline - kDeadlineMargin - Clock::now(), 0ms));
 }
 
-void FlowAdmission::SetFinalDeadline(Time end) {
-  end_ = end;
+void FlowAdmission::SetFinalDeadline(Time deadline) {
+  final_deadline_ = deadline;
   flows_.ForEach([this](Flow& flow) {
-    if (!flow.receiving_body && flow.state != Flow::State::kAnswered) Arm(flow);
+    if (!flow.receiving_body && flow.state != Flow::State::kResponded) StartDeadlineTimer(flow);
   });
 }
 
--- a/src/flow/admit.h
+++ b/src/flow/admit.h
@@ -11,30 +11,31 @@
 
 class FlowAdmission {
  public:
-  using LastCall = std::function<void(FlowId)>;
-  using Refused = std::function<void(int request_class)>;
-  FlowAdmission(Loop& loop, FlowTable& flows, Counters& counters, LastCall last_call, Refused refused)
+  using DeadlineCallback = std::function<void(FlowId)>;
+  using InvalidRequestCallback = std::function<void(int request_class)>;
+  FlowAdmission(Loop& loop, FlowTable& flows, Counters& counters, DeadlineCallback on_deadline,
+                InvalidRequestCallback on_invalid_request)
       : loop_(loop),
         flows_(flows),
         counters_(counters),
-        last_call_(std::move(last_call)),
-        refused_(std::move(refused)) {}
+        on_deadline_(std::move(on_deadline)),
+        on_invalid_request_(std::move(on_invalid_request)) {}
   // The time of a flow with a long body begins with Taken, others' at once.
   // Null where another open flow has the request's id: that one is answered here.
   Flow* operator()(EdgeConnection& edge, FlowRequest request) const;
   void OnBodyReceived(Flow& flow) const;
   // The process ends: whatever is open, or comes yet, has its answer before this.
-  void SetFinalDeadline(Time end);
+  void SetFinalDeadline(Time deadline);
 
  private:
   Loop& loop_;
   FlowTable& flows_;
   Counters& counters_;
-  void Arm(Flow& flow) const;
+  void StartDeadlineTimer(Flow& flow) const;
 
-  const LastCall last_call_;
-  Time end_ = Time::max();
-  const Refused refused_;
+  const DeadlineCallback on_deadline_;
+  Time final_deadline_ = Time::max();
+  const InvalidRequestCallback on_invalid_request_;
 };
 
 }  // namespace umberdyke::net
--- a/src/flow/book.cpp
+++ b/src/flow/book.cpp
@@ -37,8 +37,8 @@
 
 void FlowRecorder::RecordAttemptEnd(Flow* flow, Outcome outcome) const {
   if (flow == nullptr) return;
-  if (INVARIANT(flow->open > 0, counters_)) --flow->open;
-  if (flow->open == 0) flow->state = Flow::State::kDeciding;
+  if (INVARIANT(flow->attempts_in_flight > 0, counters_)) --flow->attempts_in_flight;
+  if (flow->attempts_in_flight == 0) flow->state = Flow::State::kDeciding;
   if (!NeverRan(outcome)) flow->may_have_run = true;
 }
 
@@ -59,8 +59,8 @@
   std::unique_ptr<Flow> flow = flows_.Remove(id);
   if (flow == nullptr) return;
   metrics_.CountFlow(flow->request.request_class, ending,
-                     metrics_.timed() ? Clock::now() - flow->received : Span(0));
-  flow->last_call->Stop();
+                     metrics_.records_latency() ? Clock::now() - flow->received : Span(0));
+  flow->deadline_timer->Stop();
   loop_.DestroyLater(std::move(flow));
 }
 
--- a/src/flow/decisions.cpp
+++ b/src/flow/decisions.cpp
@@ -7,10 +7,10 @@
 namespace {
 
 // Keeps times from before the machine's start above zero, which the module takes for 'long ago'.
-constexpr Micros kEpoch = 4'000'000'000'000'000;
+constexpr Micros kTimeOffset = 4'000'000'000'000'000;
 
 template <typename Duration>
-Micros Count(Duration duration) {
+Micros MicrosOf(Duration duration) {
   return std::chrono::duration_cast<std::chrono::microseconds>(duration).count();
 }
 
@@ -19,26 +19,26 @@
 Decisions::Decisions(Loop& loop, const Config& config, Counters& counters, ActionHandler& handler)
     : counters_(counters),
       handler_(handler),
-      unix_zero_(Clock::now() -
-                 std::chrono::duration_cast<Span>(std::chrono::system_clock::now().time_since_epoch())),
+      unix_epoch_(Clock::now() -
+                  std::chrono::duration_cast<Span>(std::chrono::system_clock::now().time_since_epoch())),
       timer_(loop, [this] { FireTimers(); }) {
-  Actions first;
+  Actions initial;
   try {
-    balancer_.emplace(config.settings, config.seed, ToMicros(Clock::now()), &first);
+    balancer_.emplace(config.settings, config.seed, ToMicros(Clock::now()), &initial);
   } catch (const std::invalid_argument& error) {
     throw ConfigError(std::string("configuration: settings: ") + error.what());
   }
-  busy_ = false;
+  processing_ = false;
   // Performed with the first event, when all the other parts stand.
-  events_.push_back([first](Balancer&, Micros, Actions* out) { *out = first; });
+  events_.push_back([initial](Balancer&, Micros, Actions* out) { *out = initial; });
 }
 
-Micros Decisions::ToMicros(Time time) const { return Count(time.time_since_epoch()) + kEpoch; }
+Micros Decisions::ToMicros(Time time) const { return MicrosOf(time.time_since_epoch()) + kTimeOffset; }
 
-void Decisions::Queue(Event event) {
+void Decisions::Enqueue(Event event) {
   events_.push_back(std::move(event));
-  if (busy_) return;
-  busy_ = true;
+  if (processing_) return;
+  processing_ = true;
   while (!events_.empty()) {
     const Event next = std::move(events_.front());
     events_.pop_front();
@@ -46,7 +46,7 @@
     next(*balancer_, ToMicros(Clock::now()), &actions);
     for (const Action& action : actions) Perform(action);
   }
-  busy_ = false;
+  processing_ = false;
   ArmTimer();
 }
 
@@ -66,7 +66,7 @@
         } else if constexpr (std::is_same_v<T, Fail>) {
           handler_.FailFlow(a.request);
         } else if constexpr (std::is_same_v<T, SetTimer>) {
-          due_.push({Clock::now() + std::chrono::microseconds(a.delay), a.token});
+          due_timers_.push({Clock::now() + std::chrono::microseconds(a.delay), a.token});
         } else if constexpr (std::is_same_v<T, Subscribe>) {
           handler_.WatchServerList(a.on);
         } else if constexpr (std::is_same_v<T, Check>) {
@@ -86,16 +86,16 @@
 
 void Decisions::FireTimers() {
   const Time now = Clock::now();
-  while (!due_.empty() && due_.top().at <= now) {
-    const std::uint64_t token = due_.top().token;
-    due_.pop();
-    Queue([token](Balancer& b, Micros at, Actions* out) { b.OnTimer(at, token, out); });
+  while (!due_timers_.empty() && due_timers_.top().at <= now) {
+    const std::uint64_t token = due_timers_.top().token;
+    due_timers_.pop();
+    Enqueue([token](Balancer& b, Micros at, Actions* out) { b.OnTimer(at, token, out); });
   }
   ArmTimer();
 }
 
 void Decisions::ArmTimer() {
-  if (!due_.empty()) timer_.Start(std::max(due_.top().at - Clock::now(), Span::zero()));
+  if (!due_timers_.empty()) timer_.Start(std::max(due_timers_.top().at - Clock::now(), Span::zero()));
 }
 
 void Decisions::OnListChange(const ServerListEvent& change) {
@@ -104,14 +104,14 @@
     UpstreamEntry e;
     e.id = entry.server;
     e.state = entry.listed.state;
-    e.ready_at = entry.listed.started ? ToMicros(unix_zero_ + *entry.listed.started) : 0;
+    e.ready_at = entry.listed.started ? ToMicros(unix_epoch_ + *entry.listed.started) : 0;
     e.weight = entry.listed.weight;
     e.kind = entry.listed.kind;
     e.zone = entry.listed.zone;
     e.cell = entry.listed.cell;
     entries.push_back(e);
   }
-  Queue([kind = change.kind, entries](Balancer& b, Micros at, Actions* out) {
+  Enqueue([kind = change.kind, entries](Balancer& b, Micros at, Actions* out) {
     b.OnList(at, kind, entries, out);
   });
 }
@@ -124,8 +124,8 @@
   request.client_retry = flow.request.client_retry;
   if (flow.request.expected_work) request.expected_work = flow.request.expected_work->count();
   const Time deadline = flow.deadline;
-  Queue([request, deadline](Balancer& b, Micros at, Actions* out) mutable {
-    request.time_left = std::max<Micros>(0, Count(deadline - Clock::now()));
+  Enqueue([request, deadline](Balancer& b, Micros at, Actions* out) mutable {
+    request.time_left = std::max<Micros>(0, MicrosOf(deadline - Clock::now()));
     b.OnRequest(at, request, out);
   });
 }
@@ -136,36 +136,36 @@
   end.attempt = report.attempt;
   end.upstream = report.server;
   end.outcome = report.outcome;
-  end.elapsed = Count(report.elapsed);
+  end.elapsed = MicrosOf(report.elapsed);
   end.settled = report.settled;
   end.report = report.load;
-  Queue([end](Balancer& b, Micros at, Actions* out) { b.OnAttemptEnd(at, end, out); });
+  Enqueue([end](Balancer& b, Micros at, Actions* out) { b.OnAttemptEnd(at, end, out); });
 }
 
 void Decisions::OnResponseStart(FlowId flow, int attempt) {
-  Queue([=](Balancer& b, Micros at, Actions* out) { b.OnStreamStart(at, flow, attempt, out); });
+  Enqueue([=](Balancer& b, Micros at, Actions* out) { b.OnStreamStart(at, flow, attempt, out); });
 }
 
 void Decisions::OnBodyStart(FlowId flow) {
-  Queue([flow](Balancer& b, Micros at, Actions* out) { b.OnBody(at, flow, std::nullopt, out); });
+  Enqueue([flow](Balancer& b, Micros at, Actions* out) { b.OnBody(at, flow, std::nullopt, out); });
 }
 
 void Decisions::OnBodySent(const Flow& flow) {
-  Queue([id = flow.id, deadline = flow.deadline](Balancer& b, Micros at, Actions* out) {
-    b.OnBody(at, id, std::max<Micros>(0, Count(deadline - Clock::now())), out);
+  Enqueue([id = flow.id, deadline = flow.deadline](Balancer& b, Micros at, Actions* out) {
+    b.OnBody(at, id, std::max<Micros>(0, MicrosOf(deadline - Clock::now())), out);
   });
 }
 
 void Decisions::OnClientGone(FlowId flow) {
-  Queue([flow](Balancer& b, Micros at, Actions* out) { b.OnClientGone(at, flow, out); });
+  Enqueue([flow](Balancer& b, Micros at, Actions* out) { b.OnClientGone(at, flow, out); });
 }
 
-void Decisions::OnZoneShares(const std::vector<double>& parts) {
-  Queue([parts](Balancer& b, Micros at, Actions* out) { b.OnZones(at, parts, out); });
+void Decisions::OnZoneShares(const std::vector<double>& shares) {
+  Enqueue([shares](Balancer& b, Micros at, Actions* out) { b.OnZones(at, shares, out); });
 }
 
 void Decisions::OnCheckResult(ServerId server, Outcome outcome, const std::optional<LoadReport>& load) {
-  Queue([=](Balancer& b, Micros at, Actions* out) { b.OnCheck(at, server, outcome, load, out); });
+  Enqueue([=](Balancer& b, Micros at, Actions* out) { b.OnCheck(at, server, outcome, load, out); });
 }
 
 }  // namespace umberdyke::net
--- a/src/flow/decisions.h
+++ b/src/flow/decisions.h
@@ -23,7 +23,7 @@
 class ActionHandler {
  public:
   // `send_within`: the request's last byte is out by then, or never.
-  virtual void SendAttempt(FlowId flow, ServerId server, std::optional<Span> time_out,
+  virtual void SendAttempt(FlowId flow, ServerId server, std::optional<Span> timeout,
                            std::optional<Span> send_within) = 0;
   virtual void CancelAttempt(FlowId flow, int attempt) = 0;
   virtual void RejectFlow(FlowId flow, std::chrono::microseconds retry_after) = 0;
@@ -55,37 +55,37 @@
   int Avoided() const { return balancer_->Avoided(ToMicros(Clock::now())); }
   void OnListChange(const ServerListEvent& change);
   void OnNewFlow(const Flow& flow);
-  // A long answer has begun; a long body has begun to leave; its last byte is out.
+  // A long answer has message_started; a long body has message_started to leave; its last byte is out.
   void OnResponseStart(FlowId flow, int attempt);
   void OnBodyStart(FlowId flow);
   void OnBodySent(const Flow& flow);
   void OnAttemptEnd(const AttemptReport& report);
   void OnClientGone(FlowId flow);
   // Each zone's part of what it would get, by number.
-  void OnZoneShares(const std::vector<double>& parts);
+  void OnZoneShares(const std::vector<double>& shares);
   void OnCheckResult(ServerId server, Outcome outcome, const std::optional<LoadReport>& load);
 
  private:
   using Event = std::function<void(Balancer&, Micros, Actions*)>;
-  struct Due {
+  struct DueTimer {
     Time at;
     std::uint64_t token;
-    bool operator>(const Due& other) const { return at > other.at; }
+    bool operator>(const DueTimer& other) const { return at > other.at; }
   };
 
   Micros ToMicros(Time time) const;
-  void Queue(Event event);
+  void Enqueue(Event event);
   void Perform(const Action& action);
   void FireTimers();
   void ArmTimer();
 
   Counters& counters_;
   ActionHandler& handler_;
-  const Time unix_zero_;  // the monotonic time of Unix time 0, as the clocks stood at the start
+  const Time unix_epoch_;  // the monotonic time of Unix time 0, as the clocks stood at the start
   std::optional<Balancer> balancer_;
   std::deque<Event> events_;
-  bool busy_ = true;  // until the first actions are performed
-  std::priority_queue<Due, std::vector<Due>, std::greater<>> due_;
+  bool processing_ = true;  // until the initial actions are performed
+  std::priority_queue<DueTimer, std::vector<DueTimer>, std::greater<>> due_timers_;
   Timer timer_;
 };
 
--- a/src/flow/flow.h
+++ b/src/flow/flow.h
@@ -18,9 +18,9 @@
 
 struct Flow {
   enum class State {
-    kDeciding,  // the module has it
-    kInFlight,  // an attempt is in flight
-    kAnswered,  // the one final answer is written, or nobody waits for it any more
+    kDeciding,   // the module has it
+    kInFlight,   // an attempt is in flight
+    kResponded,  // the one final answer is written, or nobody waits for it any more
   };
 
   FlowId id = 0;
@@ -30,27 +30,27 @@
   Time received{};
   Time deadline{};  // when the client gives up
   int attempts = 0;
-  int open = 0;                 // attempts in flight
-  bool may_have_run = false;    // an attempt ended in a way that does not prove the contrary
-  bool receiving_body = false;  // its long body is still coming
-  bool body_left = false;       // and some of it has gone on to a server: it can't be sent again
+  int attempts_in_flight = 0;     // attempts in flight
+  bool may_have_run = false;      // an attempt ended in a way that does not prove the contrary
+  bool receiving_body = false;    // its long body is still coming
+  bool body_partly_sent = false;  // and some of it has gone on to a server: it can't be sent again
   bool body_sent = false;
-  Span wait{};                      // of the attempt that is out, from its last byte on
-  bool streaming_response = false;  // its long answer has begun to reach the client
+  Span attempt_timeout{};           // of the attempt that is out, from its last byte on
+  bool streaming_response = false;  // its long answer has message_started to reach the client
   int unfit_status = 0;             // the status with which a real server found the request itself at fault
-  std::unique_ptr<Timer> last_call;
+  std::unique_ptr<Timer> deadline_timer;
 };
 
 class FlowTable {
  public:
   Flow& Add(FlowRequest request) {
     auto flow = std::make_unique<Flow>();
-    flow->id = ++last_;
+    flow->id = ++last_id_;
     flow->request = std::move(request);
-    ids_.insert(flow->request.id);
+    request_ids_.insert(flow->request.id);
     return *(flows_[flow->id] = std::move(flow));
   }
-  bool Has(const std::string& request_id) const { return ids_.contains(request_id); }
+  bool Has(const std::string& request_id) const { return request_ids_.contains(request_id); }
   Flow* Find(FlowId id) {
     const auto it = flows_.find(id);
     return it == flows_.end() ? nullptr : it->second.get();
@@ -58,7 +58,7 @@
   std::unique_ptr<Flow> Remove(FlowId id) {
     auto node = flows_.extract(id);
     if (node.empty()) return nullptr;
-    ids_.erase(node.mapped()->request.id);
+    request_ids_.erase(node.mapped()->request.id);
     return std::move(node.mapped());
   }
   template <typename Visit>
@@ -73,8 +73,8 @@
   }
 
  private:
-  FlowId last_ = 0;
-  std::unordered_set<std::string> ids_;  // the clients' own, of the open flows
+  FlowId last_id_ = 0;
+  std::unordered_set<std::string> request_ids_;  // the clients' own, of the open flows
   std::unordered_map<FlowId, std::unique_ptr<Flow>> flows_;
 };
 
--- a/src/flow/relay.cpp
+++ b/src/flow/relay.cpp
@@ -10,19 +10,19 @@
 
 }  // namespace
 
-FlowEnd ResponseWriter::SendServed(Flow& flow, const Message& answer, bool draining) const {
+FlowEnd ResponseWriter::SendServed(Flow& flow, const Message& response, bool draining) const {
   counters_.Add("flows_served");
   const bool keep = KeepAlive(flow, draining);
-  Write(flow, platform_.SuccessResponse(answer, keep), keep);
+  SendFinalResponse(flow, platform_.SuccessResponse(response, keep), keep);
   return FlowEnd::kServed;
 }
 
 bool ResponseWriter::BeginStreaming(Flow& flow, const Message& head, bool draining) const {
-  INVARIANT(flow.state != Flow::State::kAnswered && !flow.receiving_body, counters_);
+  INVARIANT(flow.state != Flow::State::kResponded && !flow.receiving_body, counters_);
   counters_.Add("flows_served_long");
-  flow.state = Flow::State::kAnswered;
+  flow.state = Flow::State::kResponded;
   flow.streaming_response = true;
-  flow.last_call->Stop();
+  flow.deadline_timer->Stop();
   const Framing framing = Platform::FramingOf(head, flow.request.message.accepts_chunked);
   const bool keep = KeepAlive(flow, draining) && (framing.content_length || framing.chunked);
   return flow.edge->BeginResponse(platform_.SuccessHead(head, framing, keep), framing, keep);
@@ -44,7 +44,7 @@
 
 // A refusal tells the client that it may send the request anew: a second effect, if this one had one.
 bool ResponseWriter::MayReject(const Flow& flow) const {
-  if (!flow.may_have_run && flow.open == 0) return true;
+  if (!flow.may_have_run && flow.attempts_in_flight == 0) return true;
   const RequestClass& c = settings_.classes[static_cast<size_t>(flow.request.request_class)];
   return c.repeat == Repeat::kSafe || (c.repeat == Repeat::kKeyed && c.group == Group::kAll);
 }
@@ -54,7 +54,7 @@
   if (!INVARIANT(MayReject(flow), counters_)) return SendFailure(flow, draining);
   counters_.Add("flows_turned_down");
   const bool keep = KeepAlive(flow, draining);
-  Write(flow, Platform::RejectionResponse(retry_after, keep), keep);
+  SendFinalResponse(flow, Platform::RejectionResponse(retry_after, keep), keep);
   return FlowEnd::kRejected;
 }
 
@@ -63,18 +63,19 @@
   const bool keep = KeepAlive(flow, draining);
   const bool in_time = Clock::now() < flow.deadline - std::chrono::milliseconds(20);
   const bool unfit = flow.unfit_status != 0;
-  Write(flow,
-        unfit ? Platform::UnfitResponse(flow.unfit_status, keep) : Platform::FailureResponse(in_time, keep),
-        keep);
+  SendFinalResponse(
+      flow,
+      unfit ? Platform::UnfitResponse(flow.unfit_status, keep) : Platform::FailureResponse(in_time, keep),
+      keep);
   return FlowEnd::kFailed;
 }
 
-void ResponseWriter::Write(Flow& flow, std::string answer, bool keep_alive) const {
-  if (!INVARIANT(flow.state != Flow::State::kAnswered, counters_)) return;
-  flow.state = Flow::State::kAnswered;
-  flow.last_call->Stop();
+void ResponseWriter::SendFinalResponse(Flow& flow, std::string response, bool keep_alive) const {
+  if (!INVARIANT(flow.state != Flow::State::kResponded, counters_)) return;
+  flow.state = Flow::State::kResponded;
+  flow.deadline_timer->Stop();
   flow.edge->flow = 0;
-  flow.edge->SendResponse(std::move(answer), keep_alive);
+  flow.edge->SendResponse(std::move(response), keep_alive);
 }
 
 }  // namespace umberdyke::net
--- a/src/flow/relay.h
+++ b/src/flow/relay.h
@@ -16,13 +16,11 @@
   ResponseWriter(const Platform& platform, const Settings& settings, Counters& counters)
       : platform_(platform), settings_(settings), counters_(counters) {}
 
-  FlowEnd SendServed(Flow& flow, const Message& answer, bool draining) const;
+  FlowEnd SendServed(Flow& flow, const Message& response, bool draining) const;
   // A long answer goes on as it comes: its head, its pieces, and its end or that there is none. Pieces and
   // head are false where the client lags.
   bool BeginStreaming(Flow& flow, const Message& head, bool draining) const;
-  bool StreamData(Flow& flow, std::string piece) const {
-    return flow.edge->SendResponseData(std::move(piece));
-  }
+  bool StreamData(Flow& flow, std::string data) const { return flow.edge->SendResponseData(std::move(data)); }
   FlowEnd FinishStreaming(Flow& flow) const;
   FlowEnd AbortStreaming(Flow& flow) const;
   // Says that trying again is harmless, where that is true; else it fails.
@@ -31,7 +29,7 @@
 
  private:
   bool MayReject(const Flow& flow) const;
-  void Write(Flow& flow, std::string answer, bool keep_alive) const;
+  void SendFinalResponse(Flow& flow, std::string response, bool keep_alive) const;
 
   const Platform& platform_;
   const Settings& settings_;
--- a/src/flow/route.cpp
+++ b/src/flow/route.cpp
@@ -6,19 +6,19 @@
 using namespace std::chrono_literals;
 
 // An attempt ends this long before the client gives up, so that the module's answer still arrives.
-constexpr Span kAnswerTime = 8ms;
+constexpr Span kResponseMargin = 8ms;
 
 }  // namespace
 
 std::optional<AttemptRoute> AttemptRouter::operator()(const Flow& flow, ServerId server,
-                                                      std::optional<Span> time_out,
+                                                      std::optional<Span> max_timeout,
                                                       std::optional<Span> send_within) const {
   if (!AcceptsNewWork(server)) return std::nullopt;
   const Time now = Clock::now();
-  const Span left = flow.deadline - kAnswerTime - now;
-  const Span wait = time_out ? std::min(*time_out, left) : left;
-  if (wait < 1ms) return std::nullopt;
-  return AttemptRoute{server, server_list_.Find(server)->address, wait,
+  const Span time_left = flow.deadline - kResponseMargin - now;
+  const Span timeout = max_timeout ? std::min(*max_timeout, time_left) : time_left;
+  if (timeout < 1ms) return std::nullopt;
+  return AttemptRoute{server, server_list_.Find(server)->address, timeout,
                       send_within ? now + *send_within : Time::max()};
 }
 
--- a/src/flow/route.h
+++ b/src/flow/route.h
@@ -12,7 +12,7 @@
 struct AttemptRoute {
   ServerId server = 0;
   Address address{};
-  Span wait{};
+  Span timeout{};
   Time send_by{};  // its last byte, or never
 };
 
@@ -21,7 +21,7 @@
   AttemptRouter(const ServerList& server_list, const Settings& settings)
       : server_list_(server_list), settings_(settings) {}
   // Nothing where no attempt may go out: an unknown or leaving server, or no time left.
-  std::optional<AttemptRoute> operator()(const Flow& flow, ServerId server, std::optional<Span> time_out,
+  std::optional<AttemptRoute> operator()(const Flow& flow, ServerId server, std::optional<Span> max_timeout,
                                          std::optional<Span> send_within) const;
   // Whether the list, as it stands now, lets new work go there.
   bool AcceptsNewWork(ServerId server) const;
--- a/src/flow/send.cpp
+++ b/src/flow/send.cpp
@@ -6,71 +6,76 @@
 
 namespace umberdyke::net {
 
-void AttemptSender::operator()(Flow& flow, int attempt, const AttemptRoute& routed) {
-  INVARIANT(copies_ || flow.open == 0, counters_);
+void AttemptSender::operator()(Flow& flow, int attempt, const AttemptRoute& route) {
+  INVARIANT(allow_parallel_attempts_ || flow.attempts_in_flight == 0, counters_);
   flow.state = Flow::State::kInFlight;
-  ++flow.open;
+  ++flow.attempts_in_flight;
   counters_.Add("attempts_sent");
   const std::pair<FlowId, int> key(flow.id, attempt);
-  const bool fed = flow.request.streaming_body;
-  INVARIANT(!flow.body_left, counters_);
-  flow.wait = routed.wait;
+  const bool streams_body = flow.request.streaming_body;
+  INVARIANT(!flow.body_partly_sent, counters_);
+  flow.attempt_timeout = route.timeout;
   ExchangeEvents events;
   events.make_request = [this, id = flow.id,
-                         server = routed.server](Span left) -> std::optional<std::string> {
-    const auto time = std::chrono::floor<std::chrono::milliseconds>(left);
-    const Flow* wanted = route_.AcceptsNewWork(server) && time.count() > 0 ? wanted_(id) : nullptr;
-    return wanted == nullptr ? std::nullopt : std::optional(platform_.BuildRequest(wanted->request, time));
+                         server = route.server](Span time_left) -> std::optional<std::string> {
+    const auto time = std::chrono::floor<std::chrono::milliseconds>(time_left);
+    const Flow* open_flow =
+        router_.AcceptsNewWork(server) && time.count() > 0 ? find_open_flow_(id) : nullptr;
+    return open_flow == nullptr ? std::nullopt
+                                : std::optional(platform_.BuildRequest(open_flow->request, time));
   };
-  events.on_written = [this, id = flow.id, fed] { Sent(id, fed); };
-  if (fed) events.on_buffer_space = [this, id = flow.id] { passing_.room(id); };
+  events.on_written = [this, id = flow.id, streams_body] { OnRequestSent(id, streams_body); };
+  if (streams_body) events.on_buffer_space = [this, id = flow.id] { streaming_.on_writable(id); };
   events.on_response_head = [this, key](const Message& head) {
-    passing_.answer(key.first, key.second, head);
+    streaming_.on_response_head(key.first, key.second, head);
   };
   events.on_response_body = [this, key](std::string piece) {
-    passing_.piece(key.first, key.second, std::move(piece));
+    streaming_.on_response_data(key.first, key.second, std::move(piece));
   };
-  events.on_done = [this, key, server = routed.server](ExchangeResult end) {
+  events.on_done = [this, key, server = route.server](ExchangeResult end) {
     attempts_.erase(key);
     const Outcome outcome = OutcomeOf(end);
     done_({key.first, key.second, server, outcome, end.latency, std::move(end.response)});
   };
-  const ExchangeId exchange =
-      servers_.Start(routed.server, routed.address, routed.wait, routed.send_by, std::move(events), fed);
-  attempts_[key] = {exchange, routed.server, Clock::now()};
+  const ExchangeId exchange = servers_.Start(route.server, route.address, route.timeout, route.send_by,
+                                             std::move(events), streams_body);
+  attempts_[key] = {exchange, route.server, Clock::now()};
 }
 
-void AttemptSender::Sent(FlowId flow, bool fed) {
+void AttemptSender::OnRequestSent(FlowId flow, bool streams_body) {
   metrics_.CountSentAttempt();
-  if (fed) passing_.body_ends(flow);
+  if (streams_body) streaming_.on_body_sent(flow);
 }
 
-const AttemptSender::Attempt* AttemptSender::AttemptOf(const Flow& flow) const {
+const AttemptSender::Attempt* AttemptSender::LatestAttempt(const Flow& flow) const {
   const auto it = attempts_.find({flow.id, flow.attempts - 1});
   return it == attempts_.end() ? nullptr : &it->second;
 }
 
 void AttemptSender::ForwardBody(Flow& flow) {
-  const Attempt* attempt = AttemptOf(flow);
+  const Attempt* attempt = LatestAttempt(flow);
   if (attempt == nullptr || flow.body_sent || !servers_.HasBufferSpace(attempt->exchange)) return;
   const Framing framing = Platform::FramingOf(flow.request.message, true);
   if (std::string piece = flow.edge->TakeBody(); !piece.empty()) {
-    if (!std::exchange(flow.body_left, true)) passing_.body_begins(flow.id);
+    if (!std::exchange(flow.body_partly_sent, true)) streaming_.on_body_start(flow.id);
     servers_.SendBody(attempt->exchange, WriteBodyPart(std::move(piece), framing));
   }
   if (flow.receiving_body || !flow.edge->body_consumed()) return;
   flow.body_sent = true;
   servers_.SendBody(attempt->exchange, WriteBodyEnd(framing));
-  servers_.EndBody(attempt->exchange, std::min<Span>(flow.wait, flow.deadline - Clock::now()));
+  servers_.EndBody(attempt->exchange, std::min<Span>(flow.attempt_timeout, flow.deadline - Clock::now()));
 }
 
 void AttemptSender::PauseResponse(const Flow& flow) {
-  if (const Attempt* attempt = AttemptOf(flow); attempt != nullptr) servers_.PauseResponse(attempt->exchange);
+  if (const Attempt* attempt = LatestAttempt(flow); attempt != nullptr) {
+    servers_.PauseResponse(attempt->exchange);
+  }
 }
 
 void AttemptSender::ResumeResponse(const Flow& flow) {
-  if (const Attempt* attempt = AttemptOf(flow); attempt != nullptr)
+  if (const Attempt* attempt = LatestAttempt(flow); attempt != nullptr) {
     servers_.ResumeResponse(attempt->exchange);
+  }
 }
 
 void AttemptSender::Cancel(FlowId flow, int attempt) {
--- a/src/flow/send.h
+++ b/src/flow/send.h
@@ -26,29 +26,29 @@
 
 class AttemptSender {
  public:
-  using Done = std::function<void(AttemptResult)>;
-  using Wanted = std::function<const Flow*(FlowId)>;  // null where its client has left
-  struct Passing {
-    std::function<void(FlowId)> room;         // for more of a long body
-    std::function<void(FlowId)> body_begins;  // a piece of a long body has left: it is not kept
-    std::function<void(FlowId)> body_ends;    // its last byte is written
-    std::function<void(FlowId, int attempt, const Message& head)> answer;
-    std::function<void(FlowId, int attempt, std::string piece)> piece;
+  using DoneCallback = std::function<void(AttemptResult)>;
+  using FindOpenFlow = std::function<const Flow*(FlowId)>;  // null where its client has left
+  struct StreamingCallbacks {
+    std::function<void(FlowId)> on_writable;    // for more of a long body
+    std::function<void(FlowId)> on_body_start;  // a piece of a long body has left: it is not kept
+    std::function<void(FlowId)> on_body_sent;   // its last byte is written
+    std::function<void(FlowId, int attempt, const Message& head)> on_response_head;
+    std::function<void(FlowId, int attempt, std::string piece)> on_response_data;
   };
-  AttemptSender(RealServers& servers, const AttemptRouter& route, const Platform& platform,
-                FlowMetrics& metrics, Counters& counters, bool copies, Wanted wanted, Done done,
-                Passing passing)
+  AttemptSender(RealServers& servers, const AttemptRouter& router, const Platform& platform,
+                FlowMetrics& metrics, Counters& counters, bool allow_parallel_attempts,
+                FindOpenFlow find_open_flow, DoneCallback done, StreamingCallbacks streaming)
       : servers_(servers),
-        route_(route),
+        router_(router),
         platform_(platform),
         metrics_(metrics),
         counters_(counters),
-        copies_(copies),
-        wanted_(std::move(wanted)),
+        allow_parallel_attempts_(allow_parallel_attempts),
+        find_open_flow_(std::move(find_open_flow)),
         done_(std::move(done)),
-        passing_(std::move(passing)) {}
+        streaming_(std::move(streaming)) {}
 
-  void operator()(Flow& flow, int attempt, const AttemptRoute& routed);
+  void operator()(Flow& flow, int attempt, const AttemptRoute& route);
   // More of a long body has come, or its attempt has room for more.
   void ForwardBody(Flow& flow);
   // The client reads its long answer too slowly, or has caught up.
@@ -58,7 +58,7 @@
   void Cancel(FlowId flow, int attempt);
   // The client has gone: attempts that have not left whole never do.
   void CancelUnsent(FlowId flow);
-  size_t open() const { return attempts_.size(); }
+  size_t in_flight() const { return attempts_.size(); }
   static Outcome OutcomeOf(const ExchangeResult& end);
 
  private:
@@ -67,17 +67,17 @@
     ServerId server;
     Time sent;
   };
-  const Attempt* AttemptOf(const Flow& flow) const;
-  void Sent(FlowId flow, bool fed);
+  const Attempt* LatestAttempt(const Flow& flow) const;
+  void OnRequestSent(FlowId flow, bool streams_body);
   RealServers& servers_;
-  const AttemptRouter& route_;
+  const AttemptRouter& router_;
   const Platform& platform_;
   FlowMetrics& metrics_;
   Counters& counters_;
-  const bool copies_;  // two attempts of one flow may be in flight together
-  const Wanted wanted_;
-  const Done done_;
-  const Passing passing_;
+  const bool allow_parallel_attempts_;  // two attempts of one flow may be in flight together
+  const FindOpenFlow find_open_flow_;
+  const DoneCallback done_;
+  const StreamingCallbacks streaming_;
   std::map<std::pair<FlowId, int>, Attempt> attempts_;
 };
 
--- a/src/flow/take_in.cpp
+++ b/src/flow/take_in.cpp
@@ -3,18 +3,18 @@
 namespace umberdyke::net {
 
 std::optional<FlowRequest> RequestIntake::operator()(EdgeConnection& edge, Message message, bool long_body,
-                                                     bool ready, bool leaving) const {
-  const bool keep_alive = message.keep_alive && !leaving;
-  auto read = platform_.ParseRequest(std::move(message), long_body);
-  if (auto* request = std::get_if<FlowRequest>(&read)) {
+                                                     bool ready, bool close_after) const {
+  const bool keep_alive = message.keep_alive && !close_after;
+  auto result = platform_.ParseRequest(std::move(message), long_body);
+  if (auto* request = std::get_if<FlowRequest>(&result)) {
     counters_.Add("flows_taken");
     return std::move(*request);
   }
-  if (const auto* bad = std::get_if<BadRequest>(&read)) {
+  if (const auto* bad = std::get_if<BadRequest>(&result)) {
     counters_.Add("requests_bad");
-    if (bad->request_class) refused_(*bad->request_class);
+    if (bad->request_class) on_invalid_request_(*bad->request_class);
     edge.SendResponse(Platform::BadRequestResponse(*bad), keep_alive && bad->status == 404);
-  } else if (std::get<Page>(read) == Page::kCounters) {
+  } else if (std::get<Page>(result) == Page::kCounters) {
     edge.SendResponse(Platform::PageResponse(200, counters_.Print("\n"), keep_alive), keep_alive);
   } else {
     edge.SendResponse(Platform::PageResponse(ready ? 200 : 503, ready ? "ready\n" : "draining\n", keep_alive),
@@ -23,11 +23,11 @@
   return std::nullopt;
 }
 
-void RequestIntake::RespondToInvalidRequest(EdgeConnection& edge, ParseResult why) const {
+void RequestIntake::RespondToInvalidRequest(EdgeConnection& edge, ParseResult error) const {
   counters_.Add("requests_malformed");
   BadRequest bad{400, "this is no HTTP request"};
-  if (why == ParseResult::kHeadTooLong) bad = {431, "the headers are too long"};
-  if (why == ParseResult::kBodyTooLong) bad = {413, "the body is too long"};
+  if (error == ParseResult::kHeadTooLong) bad = {431, "the headers are too long"};
+  if (error == ParseResult::kBodyTooLong) bad = {413, "the body is too long"};
   edge.SendResponse(Platform::BadRequestResponse(bad), false);
 }
 
--- a/src/flow/take_in.h
+++ b/src/flow/take_in.h
@@ -14,20 +14,20 @@
 class RequestIntake {
  public:
   // `refused` hears of each request of a known class that is answered here.
-  using Refused = std::function<void(int request_class)>;
-  RequestIntake(const Platform& platform, Counters& counters, Refused refused)
-      : platform_(platform), counters_(counters), refused_(std::move(refused)) {}
+  using InvalidRequestCallback = std::function<void(int request_class)>;
+  RequestIntake(const Platform& platform, Counters& counters, InvalidRequestCallback on_invalid_request)
+      : platform_(platform), counters_(counters), on_invalid_request_(std::move(on_invalid_request)) {}
   // Nothing where the message was answered here: the sidecar's own pages and bad requests. `ready` is what
   // the page of that name says; `leaving` connections end with their next answer.
   std::optional<FlowRequest> operator()(EdgeConnection& edge, Message message, bool long_body, bool ready,
-                                        bool leaving) const;
-  void RespondToInvalidRequest(EdgeConnection& edge, ParseResult why) const;
+                                        bool close_after) const;
+  void RespondToInvalidRequest(EdgeConnection& edge, ParseResult error) const;
   void RespondToSlowRequest(EdgeConnection& edge) const;
 
  private:
   const Platform& platform_;
   Counters& counters_;
-  const Refused refused_;
+  const InvalidRequestCallback on_invalid_request_;
 };
 
 }  // namespace umberdyke::net
--- a/src/flow/tally.h
+++ b/src/flow/tally.h
@@ -23,26 +23,27 @@
 
 class FlowMetrics {
  public:
-  // `timed`: somebody may ask how long answers took.
-  explicit FlowMetrics(const std::vector<std::string>& class_names, bool timed = false) : timed_(timed) {
+  // `records_latency`: somebody may ask how long answers took.
+  explicit FlowMetrics(const std::vector<std::string>& class_names, bool records_latency = false)
+      : records_latency_(records_latency) {
     for (const std::string& name : class_names) figures_.classes.push_back({name, 0, 0, 0});
   }
 
-  void CountFlow(int request_class, FlowEnd ending, Span took = {}) {
+  void CountFlow(int request_class, FlowEnd ending, Span latency = {}) {
     ConsoleMetrics::PerClass& c = figures_.classes.at(static_cast<size_t>(request_class));
     ++(ending == FlowEnd::kServed ? c.success : ending == FlowEnd::kRejected ? c.overload : c.error);
-    if (ending != FlowEnd::kServed || !timed_) return;
+    if (ending != FlowEnd::kServed || !records_latency_) return;
     const auto ms =
-        static_cast<std::uint64_t>(std::chrono::duration_cast<std::chrono::milliseconds>(took).count());
+        static_cast<std::uint64_t>(std::chrono::duration_cast<std::chrono::milliseconds>(latency).count());
     const size_t bins = std::min<size_t>(figures_.slower.size(), static_cast<size_t>(std::bit_width(ms)));
     for (size_t i = 0; i < bins; ++i) ++figures_.slower[i];
   }
   void CountSentAttempt() { ++figures_.dispatches; }
-  bool timed() const { return timed_; }
+  bool records_latency() const { return records_latency_; }
   const ConsoleMetrics& figures() const { return figures_; }
 
  private:
-  const bool timed_;
+  const bool records_latency_;
   ConsoleMetrics figures_;
 };
 
--- a/src/passing/room.h
+++ b/src/passing/room.h
@@ -25,8 +25,8 @@
   // Two processes of one sidecar have half each.
   void SetShared(bool shared) { shared_ = shared; }
   size_t window() const {
-    const size_t all = memory_ / (shared_ ? 8 : 4);
-    return std::clamp(all / std::max<size_t>(1, transfers_), kMinWindow, kMaxWindow);
+    const size_t total = memory_ / (shared_ ? 8 : 4);
+    return std::clamp(total / std::max<size_t>(1, transfers_), kMinWindow, kMaxWindow);
   }
 
  private:
