--- a/src/counters/counters.h
+++ b/src/counters/counters.h
@@ -1,4 +1,4 @@
-// What the sidecar took in, sent and answered, by name; printed on request and at exit.
+// Named event counters of the sidecar, printed on request and at exit.
 #ifndef UMBERDYKE_COUNTERS_COUNTERS_H_
 #define UMBERDYKE_COUNTERS_COUNTERS_H_
 
@@ -20,17 +20,19 @@
       ++it->second;
     }
   }
+  // 0 if nothing was counted under this name.
   std::uint64_t Of(std::string_view name) const {
     const auto it = counts_.find(name);
     return it == counts_.end() ? 0 : it->second;
   }
-  // A line each, in the order of their names.
+  // "name count" entries sorted by name, each followed by `separator`.
   std::string Print(std::string_view separator) const;
 
  private:
   std::map<std::string, std::uint64_t, std::less<>> counts_;
 };
 
+// Implements INVARIANT.
 inline bool CountUnless(bool holds, Counters& counters) {
   if (!holds) counters.Add("invariant_broken");
   return holds;
@@ -38,7 +40,7 @@
 
 }  // namespace umberdyke::net
 
-// What must hold: asserted in debug builds, counted in release builds. Yields whether it holds.
+// Checks an invariant: asserts in debug builds, counts violations in release builds. Evaluates to `holds`.
 #ifdef NDEBUG
 #define INVARIANT(holds, counters) ::umberdyke::net::CountUnless((holds), (counters))
 #else
--- a/src/edge/edge_connection.cpp
+++ b/src/edge/edge_connection.cpp
@@ -8,17 +8,17 @@
 
 using namespace std::chrono_literals;
 
-// A client that sends nothing, or no whole request, has its answer or its end within 3 s of connecting.
-constexpr Span kHeadTimeout = 2500ms;             // for a head: from the connect or first byte
-constexpr Span kBodyGrace = 1500ms;               // for a body, and more for each byte of it that has come
-constexpr double kMinBodyRate = 32'000;           // bytes a second: half of what the slowest clients do
-constexpr Span kMaxBodyWait = 2500ms;             // but never more than this at once
-constexpr Span kWriteTimeout = 10s;               // for a client to read some of an answer
-constexpr Span kLingerTimeout = 400ms;            // for the other side to read the last answer and close
-constexpr Span kUnreadBodyLingerTimeout = 2s;     // where it is still sending a body that nobody wants
-constexpr Span kFirstRequestTimeout = 400ms;      // a connection brings something by then, or is spared first
-constexpr Span kClosePollInterval = 40ms;         // for the close of a connection that is not read
-constexpr size_t kMaxPipelinedInput = 16 * 1024;  // input kept for later while a request is out
+// These ensure that a client without a complete request gets a response or a close within 3 s of connecting.
+constexpr Span kHeadTimeout = 2500ms;             // for the head, from the connect or its first byte
+constexpr Span kBodyGrace = 1500ms;               // for the body, extended with each byte that arrives
+constexpr double kMinBodyRate = 32'000;           // bytes per second: half the rate of the slowest clients
+constexpr Span kMaxBodyWait = 2500ms;             // upper bound of the extended time, from now
+constexpr Span kWriteTimeout = 10s;               // without any progress of a pending write
+constexpr Span kLingerTimeout = 400ms;            // for the client to read the last response and close
+constexpr Span kUnreadBodyLingerTimeout = 2s;     // likewise, while it still sends an unwanted body
+constexpr Span kFirstRequestTimeout = 400ms;      // see first_request_overdue()
+constexpr Span kClosePollInterval = 40ms;         // to detect a close while reading is paused
+constexpr size_t kMaxPipelinedInput = 16 * 1024;  // buffered while a request is processed
 
 }  // namespace
 
@@ -52,14 +52,13 @@
   last_activity_ = Clock::now();
   input_.append(bytes);
   if (state_ == State::kReading || state_ == State::kStreamingBody) {
-    Advance();
+    ParseInput();
   } else if (input_.size() > kMaxPipelinedInput) {
     PauseReading();
   }
 }
 
-// The request that is out, or its body, waits while more has come than is read: a close behind that would go
-// unread as well, and is looked for.
+// While this holds, reading is paused. A close by the client would go unread too, and is polled for instead.
 bool EdgeConnection::InputBufferFull() const {
   if (state_ == State::kStreamingBody) return body_.size() >= buffer_limit_.window();
   return state_ == State::kAwaitingResponse && input_.size() > kMaxPipelinedInput;
@@ -70,14 +69,14 @@
   if (InputBufferFull()) timeout_.Start(kClosePollInterval);
 }
 
-void EdgeConnection::Advance() {
-  const bool takes = state_ == State::kReading || state_ == State::kStreamingBody;
-  if (!takes || !stream_.open() || input_.empty()) return;
+void EdgeConnection::ParseInput() {
+  const bool reads_input = state_ == State::kReading || state_ == State::kStreamingBody;
+  if (!reads_input || !stream_.open() || input_.empty()) return;
   const bool had_started = parser_.message_started();
   const bool had_head = parser_.head_complete();
-  size_t used = 0;
-  const ParseResult parsed = parser_.Feed(input_, &used);
-  input_.erase(0, used);
+  size_t consumed = 0;
+  const ParseResult parsed = parser_.Feed(input_, &consumed);
+  input_.erase(0, consumed);
   if (parsed == ParseResult::kIncomplete || parsed == ParseResult::kComplete) {
     if (state_ == State::kStreamingBody || parser_.is_streaming()) return ReceiveBody(parsed);
   }
@@ -87,14 +86,14 @@
       if (parser_.message().Find("Expect") != nullptr) SendContinue();
     }
     if (parser_.head_complete()) {
-      ExtendBodyDeadline(used);
+      ExtendBodyDeadline(consumed);
     } else if (!had_started && parser_.message_started() && has_responded_) {
       timeout_.Start(kHeadTimeout);
     }
     if (close_when_idle_ && idle() && stream_.ReadWouldBlock()) Linger(kLingerTimeout);
     return;
   }
-  input_.erase(0, std::min(input_.find_first_not_of("\r\n"), input_.size()));  // belongs to no request
+  input_.erase(0, std::min(input_.find_first_not_of("\r\n"), input_.size()));  // blank lines between requests
   timeout_.Stop();
   timeout_deferred_ = false;
   state_ = State::kAwaitingResponse;
@@ -106,7 +105,7 @@
   }
 }
 
-// A long body: what one read gave is kept until it is taken, and no more is read over a window.
+// Buffers what one read gave of a streaming body until TakeBody, and pauses reading at a full window.
 void EdgeConnection::ReceiveBody(ParseResult parsed) {
   const bool first = state_ != State::kStreamingBody;
   const size_t before = body_.size();
@@ -126,7 +125,7 @@
     parser_.Take();
     state_ = State::kAwaitingResponse;
   } else if (InputBufferFull()) {
-    PauseReading();  // it is not the client that waits
+    PauseReading();  // no timeout: the client is not the slow side
   } else {
     ExtendBodyDeadline(body_.size() - before);
   }
@@ -136,28 +135,28 @@
   if (wants_continue && state_ == State::kStreamingBody && stream_.open()) SendContinue();
 }
 
-// What comes puts the end of patience off, by the time that the slowest may take for it.
+// Extends the body deadline by the time that `bytes` take at kMinBodyRate.
 void EdgeConnection::ExtendBodyDeadline(size_t bytes) {
-  const auto more = std::chrono::duration<double>(static_cast<double>(bytes) / kMinBodyRate);
+  const auto extension = std::chrono::duration<double>(static_cast<double>(bytes) / kMinBodyRate);
   const Time now = Clock::now();
-  body_deadline_ =
-      std::min(std::max(body_deadline_, now) + std::chrono::duration_cast<Span>(more), now + kMaxBodyWait);
+  body_deadline_ = std::min(std::max(body_deadline_, now) + std::chrono::duration_cast<Span>(extension),
+                            now + kMaxBodyWait);
   timeout_.Start(body_deadline_ - now);
 }
 
-// A client that asks first gets its answer before the body that it holds back.
+// Answers Expect: 100-continue; the client holds its body back until then.
 void EdgeConnection::SendContinue() {
   if (!std::exchange(continue_sent_, true)) stream_.Write("HTTP/1.1 100 Continue\r\n\r\n");
 }
 
 std::string EdgeConnection::TakeBody() {
-  std::string taken = std::exchange(body_, {});
-  if (state_ == State::kStreamingBody && !taken.empty()) {
+  std::string body = std::exchange(body_, {});
+  if (state_ == State::kStreamingBody && !body.empty()) {
     body_deadline_ = std::max(body_deadline_, Clock::now() + kBodyGrace);
     ExtendBodyDeadline(0);
     stream_.Read();
   }
-  return taken;
+  return body;
 }
 
 bool EdgeConnection::Write(std::string bytes) {
@@ -192,9 +191,9 @@
   return Write(std::move(head));
 }
 
-bool EdgeConnection::SendResponseData(std::string piece) {
+bool EdgeConnection::SendResponseData(std::string data) {
   if (!stream_.open()) return false;
-  Write(WriteBodyPart(std::move(piece), framing_));
+  Write(WriteBodyPart(std::move(data), framing_));
   return stream_.unwritten() < buffer_limit_.window();
 }
 
@@ -207,8 +206,9 @@
 }
 
 void EdgeConnection::AbortResponse() {
-  const bool tells_end = framing_.chunked || framing_.content_length;
-  if (!tells_end) stream_.Reset();
+  // Without framing a regular close would look like the end of the body.
+  const bool has_framing = framing_.chunked || framing_.content_length;
+  if (!has_framing) stream_.Reset();
   owner_.OnClosed(*this);
 }
 
@@ -227,20 +227,20 @@
   }
 }
 
-// A connection that is closed with input unread would take its last answer along: it lingers instead.
+// Lingers instead of closing: closing with unread input would send a reset, which may discard the response.
 void EdgeConnection::FinishResponse() {
   timeout_.Stop();
   stream_.Read();
   has_responded_ = true;
   last_activity_ = Clock::now();
-  const bool unwanted = request_streaming_ && !body_received_;
+  const bool unread_body = request_streaming_ && !body_received_;
   EndTransfers();
   response_ended_ = continue_sent_ = body_received_ = false;
   body_.clear();
-  if (close_after_response_) return Linger(unwanted ? kUnreadBodyLingerTimeout : kLingerTimeout);
+  if (close_after_response_) return Linger(unread_body ? kUnreadBodyLingerTimeout : kLingerTimeout);
   state_ = State::kReading;
   if (!input_.empty()) {
-    loop_.Post(alive_, [this] { Advance(); });
+    loop_.Post(alive_, [this] { ParseInput(); });
   } else if (close_when_idle_ && stream_.ReadWouldBlock()) {
     Linger(kLingerTimeout);
   } else {
@@ -248,8 +248,8 @@
   }
 }
 
-// The end of a connection that owes nothing: the other side hears of it and closes. What still comes crosses
-// the end, is read so that no reset takes the last answer along, and goes nowhere.
+// Shuts down the sending side and waits for the client to close. Input that still arrives is read and
+// discarded, because a reset could make the client lose the last response.
 void EdgeConnection::Linger(Span timeout) {
   state_ = State::kLingering;
   input_.clear();
@@ -257,7 +257,7 @@
   timeout_.Start(timeout);
 }
 
-// After a stall the loop's timers run before it reads: what looks idle may hold a request.
+// After a stall the loop runs timers before reads: a connection that looks idle may have an unread request.
 void EdgeConnection::CloseWhenIdle() {
   close_when_idle_ = true;
   if (idle() && stream_.ReadWouldBlock()) Linger(kLingerTimeout);
@@ -268,13 +268,13 @@
   if (state_ == State::kWritingResponse) {
     const size_t before = std::exchange(last_unwritten_, stream_.unwritten());
     if (last_unwritten_ >= before) return owner_.OnClosed(*this);
-    return timeout_.Start(kWriteTimeout);  // slowly, but it reads
+    return timeout_.Start(kWriteTimeout);  // slow, but it makes progress
   }
   if (InputBufferFull()) return ClientGone() ? owner_.OnClosed(*this) : timeout_.Start(kClosePollInterval);
   if (state_ != State::kReading && state_ != State::kStreamingBody) return;
-  // The loop's timers run before it reads: what waits there is looked at first, once.
+  // The loop runs timers before reads: pending input is read first, once.
   if (!stream_.ReadWouldBlock() && !std::exchange(timeout_deferred_, true)) return timeout_.Start(0ms);
-  if (idle()) return owner_.OnClosed(*this);  // it never asked for anything
+  if (idle()) return owner_.OnClosed(*this);  // it never sent a request
   if (state_ == State::kReading) state_ = State::kAwaitingResponse;
   close_after_response_ = true;
   owner_.OnRequestTimeout(*this);
--- a/src/edge/edge_connection.h
+++ b/src/edge/edge_connection.h
@@ -1,6 +1,6 @@
-// A client's connection: requests in one at a time, each answered once, in order. Short bodies are held
-// whole; long ones, of requests and of answers, pass in pieces, and each side is read no faster than the
-// other takes it.
+// A client's connection. Handles one request at a time and sends one response to each, in order. Short bodies
+// are buffered whole; long bodies, of requests and responses, are streamed with backpressure in both
+// directions.
 #ifndef UMBERDYKE_EDGE_EDGE_CONNECTION_H_
 #define UMBERDYKE_EDGE_EDGE_CONNECTION_H_
 
@@ -15,20 +15,22 @@
 
 class EdgeConnection;
 
+// Receives a connection's events.
 class EdgeOwner {
  public:
   virtual void OnRequest(EdgeConnection& edge, Message message) = 0;
-  // The head of a request whose body is long; it follows by TakeBody.
+  // The head of a request with a streaming body; the body is read by TakeBody.
   virtual void OnStreamingRequest(EdgeConnection& edge, Message head) = 0;
-  virtual void OnBodyData(EdgeConnection& edge) = 0;  // more of it has come, or its end
-  // More of the answer that is being passed on may be written.
+  virtual void OnBodyData(EdgeConnection& edge) = 0;  // more of the body, or its end, has arrived
+  // More of the streaming response may be written.
   virtual void OnWritable(EdgeConnection& edge) = 0;
-  // The input is no request; one answer is due, after which the connection closes.
+  // The input is malformed or too long. The owner must send one response, after which the connection closes.
   virtual void OnInvalidRequest(EdgeConnection& edge, ParseResult error) = 0;
+  // The request did not arrive in time. The owner must respond as above.
   virtual void OnRequestTimeout(EdgeConnection& edge) = 0;
-  // It has answered and waits for the next request; it may be closed from here.
+  // A response is complete and the connection waits for the next request. May be closed inside this call.
   virtual void OnIdle() = 0;
-  // It is closed, by either side; the owner lets go of it.
+  // The connection is finished or broken; the owner must release it.
   virtual void OnClosed(EdgeConnection& edge) = 0;
 
  protected:
@@ -40,43 +42,43 @@
   EdgeConnection(Loop& loop, EdgeOwner& owner, StreamingBufferLimit& buffer_limit);
   ~EdgeConnection();
 
+  // Returns false if no connection could be accepted.
   bool Accept(Listener& listener);
-  // The one answer to the request that is out; while its body is still coming, the connection ends with it.
+  // Responds to the current request. Closes the connection afterwards if the request body is incomplete.
   void SendResponse(std::string bytes, bool keep_alive);
-  // The same in pieces: false where the client lags, then OnWritable follows.
+  // The same as a stream. BeginResponse and SendResponseData return false if the client lags; OnWritable
+  // follows.
   bool BeginResponse(std::string head, const Framing& framing, bool keep_alive);
-  bool SendResponseData(std::string piece);
+  bool SendResponseData(std::string data);
   void EndResponse();
-  // The answer cannot be finished: the client sees that it is not whole.
+  // Closes the connection so that the client can tell that the response is incomplete.
   void AbortResponse();
-  // What has come of a long body and was not taken yet.
+  // Returns the bytes of a streaming body that arrived since the last call.
   std::string TakeBody();
   bool body_received() const { return body_received_; }
-  bool body_consumed() const { return body_received_ && body_.empty(); }  // and taken
+  bool body_consumed() const { return body_received_ && body_.empty(); }
 
-  // Closes between requests: now, or once all that has come is answered.
+  // Closes the connection between requests: now, or when all received requests are answered.
   void CloseWhenIdle();
-  // More has come than the request that is out.
+  // Whether input beyond the current request has arrived.
   bool HasPipelinedInput() const { return stream_.open() && (!input_.empty() || !stream_.ReadWouldBlock()); }
-  // THE word on whether its client has gone, also where that stands behind bytes that nobody has read.
+  // Whether the client has disconnected, even if unread bytes precede its close. No other check is reliable.
   bool ClientGone() const { return !stream_.open() || stream_.PeerClosed(); }
-  // Its time ends with it: what is buried lives on until the loop has run the timers that are due.
+  // Also stops the timer: after its deferred destruction begins, the loop may still run timers that are due.
   void Close() {
     timeout_.Stop();
     stream_.Close();
   }
   bool idle() const { return state_ == State::kReading && !parser_.message_started() && input_.empty(); }
-  // Idle after an answer, so that it may be closed at no cost but a connect.
+  // Closing such a connection costs the client no more than a reconnect.
   bool idle_after_response() const { return has_responded_ && idle(); }
-  bool NoUnreadInput() const {
-    return stream_.ReadWouldBlock();
-  }  // and nothing of a next request waits unread
-  // Has brought no whole request though it had the time for it: the first to be closed under pressure.
+  bool NoUnreadInput() const { return stream_.ReadWouldBlock(); }  // nor a close by the client
+  // No complete request so far and no input for kFirstRequestTimeout: shed before others under pressure.
   bool first_request_overdue() const;
-  bool lingering() const { return state_ == State::kLingering; }  // has ended, and waits for the other side
+  bool lingering() const { return state_ == State::kLingering; }  // closing; waits for the client to close
   bool has_started_request() const { return has_responded_ || parser_.message_started(); }
-  Time last_activity() const { return last_activity_; }  // since when nothing has come from it
-  std::uint64_t flow = 0;                                // the owner's note of the request that is out
+  Time last_activity() const { return last_activity_; }  // last input or completed response
+  std::uint64_t flow = 0;                                // set by the owner: id of the current flow, or 0
 
  private:
   enum class State { kReading, kStreamingBody, kAwaitingResponse, kWritingResponse, kLingering };
@@ -84,7 +86,7 @@
   void OnData(std::string_view bytes) override;
   void OnEnd() override { owner_.OnClosed(*this); }
   void OnWritten(bool ok) override;
-  void Advance();
+  void ParseInput();
   void ReceiveBody(ParseResult parsed);
   void ExtendBodyDeadline(size_t bytes);
   void SendContinue();
@@ -103,21 +105,21 @@
   Stream stream_;
   HttpParser parser_{HttpParser::Kind::kRequest};
   State state_ = State::kReading;
-  std::string input_;  // what came and is not parsed yet
-  std::string body_;   // of a long one, not taken yet
+  std::string input_;  // not parsed yet
+  std::string body_;   // of a streaming request, until TakeBody
   bool body_received_ = false;
-  bool request_streaming_ = false;   // a long body counts among the transfers
-  bool response_streaming_ = false;  // and so does a long answer
-  bool response_ended_ = false;      // all of which has been given
+  bool request_streaming_ = false;   // counted as a transfer in buffer_limit_
+  bool response_streaming_ = false;  // likewise
+  bool response_ended_ = false;      // EndResponse was called
   bool continue_sent_ = false;
   Framing framing_;
-  size_t last_unwritten_ = 0;          // when it was last looked at
-  bool close_after_response_ = false;  // with the answer that is due
-  bool close_when_idle_ = false;       // and as soon as it has nothing to answer
-  bool timeout_deferred_ = false;      // its time was up while bytes waited unread
+  size_t last_unwritten_ = 0;          // at the last check for write progress
+  bool close_after_response_ = false;  // after the current response
+  bool close_when_idle_ = false;       // as soon as no request is pending
+  bool timeout_deferred_ = false;      // the timeout fired while input was unread
   bool has_responded_ = false;
   Time last_activity_ = Clock::now();
-  Time body_deadline_{};  // for the rest of the request's body
+  Time body_deadline_{};  // for the rest of the request body
   Timer timeout_;
 };
 
--- a/src/flow/admit.cpp
+++ b/src/flow/admit.cpp
@@ -7,13 +7,13 @@
 
 using namespace std::chrono_literals;
 
-constexpr Span kClientTransitTime = 2ms;  // the client counts from its send, which was this long ago
-constexpr Span kDeadlineMargin = 4ms;     // before the deadline an answer leaves, whatever the module does
+constexpr Span kClientTransitTime = 2ms;  // assumed: the client's timeout started this long ago
+constexpr Span kDeadlineMargin = 4ms;     // time before the deadline at which a response is forced
 
 }  // namespace
 
 Flow* FlowAdmission::operator()(EdgeConnection& edge, FlowRequest request) const {
-  // A real server tells requests apart by their ids: passed on, this one could get the other's answer.
+  // Real servers identify requests by id: if forwarded, this one could get the other request's response.
   if (flows_.Has(request.id)) {
     counters_.Add("requests_of_open_id");
     on_invalid_request_(request.request_class);
--- a/src/flow/admit.h
+++ b/src/flow/admit.h
@@ -1,4 +1,4 @@
-// The second stage: a flow begins. It gets its number and the timer that keeps its answer in time.
+// Stage 2: creates the flow, with its id and the timer that guarantees a response before the deadline.
 #ifndef UMBERDYKE_FLOW_ADMIT_H_
 #define UMBERDYKE_FLOW_ADMIT_H_
 
@@ -20,11 +20,11 @@
         counters_(counters),
         on_deadline_(std::move(on_deadline)),
         on_invalid_request_(std::move(on_invalid_request)) {}
-  // The time of a flow with a long body begins with Taken, others' at once.
-  // Null where another open flow has the request's id: that one is answered here.
+  // Returns null, after responding with 409, if another open flow has the same request id. The deadline timer
+  // starts at once, or in OnBodyReceived if the request has a streaming body.
   Flow* operator()(EdgeConnection& edge, FlowRequest request) const;
   void OnBodyReceived(Flow& flow) const;
-  // The process ends: whatever is open, or comes yet, has its answer before this.
+  // For shutdown: all flows, open and future, are answered before `deadline`.
   void SetFinalDeadline(Time deadline);
 
  private:
--- a/src/flow/book.cpp
+++ b/src/flow/book.cpp
@@ -55,10 +55,10 @@
   decisions_.OnAttemptEnd(report);
 }
 
-void FlowRecorder::CloseFlow(FlowId id, FlowEnd ending) const {
+void FlowRecorder::CloseFlow(FlowId id, FlowEnd end) const {
   std::unique_ptr<Flow> flow = flows_.Remove(id);
   if (flow == nullptr) return;
-  metrics_.CountFlow(flow->request.request_class, ending,
+  metrics_.CountFlow(flow->request.request_class, end,
                      metrics_.records_latency() ? Clock::now() - flow->received : Span(0));
   flow->deadline_timer->Stop();
   loop_.DestroyLater(std::move(flow));
--- a/src/flow/book.h
+++ b/src/flow/book.h
@@ -1,4 +1,5 @@
-// The last stage: what came of attempts and flows goes into the counters and to the module, and a flow ends.
+// Last stage: records the results of attempts and flows in counters and metrics, reports attempts to the
+// decision module and removes ended flows.
 #ifndef UMBERDYKE_FLOW_BOOK_H_
 #define UMBERDYKE_FLOW_BOOK_H_
 
@@ -21,14 +22,14 @@
         metrics_(metrics),
         counters_(counters) {}
 
-  // Marks the flow, where it is still open, with what the attempt tells of it.
+  // Updates the flow's state after an attempt; does nothing for a null flow.
   void RecordAttemptEnd(Flow* flow, Outcome outcome) const;
-  // Tells the module; `settled` where the flow needs no answer any more.
+  // Counts the attempt and reports it to the decision module. `settled`: the flow needs no further response.
   void ReportAttempt(const AttemptResult& result, bool settled) const;
-  // Counts a request that was answered before it became a flow.
+  // Counts a request that was rejected before it became a flow.
   void CountInvalidRequest(int request_class) const { metrics_.CountFlow(request_class, FlowEnd::kFailed); }
-  // Lets go of a flow that is answered or left, and counts it.
-  void CloseFlow(FlowId flow, FlowEnd ending) const;
+  // Removes a flow that was answered or whose client is gone, and counts it.
+  void CloseFlow(FlowId flow, FlowEnd end) const;
 
  private:
   Loop& loop_;
--- a/src/flow/decisions.cpp
+++ b/src/flow/decisions.cpp
@@ -6,7 +6,7 @@
 namespace umberdyke::net {
 namespace {
 
-// Keeps times from before the machine's start above zero, which the module takes for 'long ago'.
+// Added to every time to keep times before the machine's boot above 0, which the module reads as 'long ago'.
 constexpr Micros kTimeOffset = 4'000'000'000'000'000;
 
 template <typename Duration>
@@ -29,7 +29,7 @@
     throw ConfigError(std::string("configuration: settings: ") + error.what());
   }
   processing_ = false;
-  // Performed with the first event, when all the other parts stand.
+  // Performed with the first event, when the other components have been constructed.
   events_.push_back([initial](Balancer&, Micros, Actions* out) { *out = initial; });
 }
 
@@ -66,7 +66,7 @@
         } else if constexpr (std::is_same_v<T, Fail>) {
           handler_.FailFlow(a.request);
         } else if constexpr (std::is_same_v<T, SetTimer>) {
-          due_timers_.push({Clock::now() + std::chrono::microseconds(a.delay), a.token});
+          pending_timers_.push({Clock::now() + std::chrono::microseconds(a.delay), a.token});
         } else if constexpr (std::is_same_v<T, Subscribe>) {
           handler_.WatchServerList(a.on);
         } else if constexpr (std::is_same_v<T, Check>) {
@@ -76,7 +76,7 @@
         } else if constexpr (std::is_same_v<T, Log>) {
           handler_.LogModuleText(a.text);
         } else {
-          // FetchList and TellPeers: the module asks for neither.
+          // The module never emits FetchList or TellPeers.
           static_assert(std::is_same_v<T, FetchList> || std::is_same_v<T, TellPeers>);
           INVARIANT(false, counters_);
         }
@@ -86,16 +86,16 @@
 
 void Decisions::FireTimers() {
   const Time now = Clock::now();
-  while (!due_timers_.empty() && due_timers_.top().at <= now) {
-    const std::uint64_t token = due_timers_.top().token;
-    due_timers_.pop();
+  while (!pending_timers_.empty() && pending_timers_.top().at <= now) {
+    const std::uint64_t token = pending_timers_.top().token;
+    pending_timers_.pop();
     Enqueue([token](Balancer& b, Micros at, Actions* out) { b.OnTimer(at, token, out); });
   }
   ArmTimer();
 }
 
 void Decisions::ArmTimer() {
-  if (!due_timers_.empty()) timer_.Start(std::max(due_timers_.top().at - Clock::now(), Span::zero()));
+  if (!pending_timers_.empty()) timer_.Start(std::max(pending_timers_.top().at - Clock::now(), Span::zero()));
 }
 
 void Decisions::OnListChange(const ServerListEvent& change) {
--- a/src/flow/flow.h
+++ b/src/flow/flow.h
@@ -1,4 +1,4 @@
-// A flow: one request from its taking in to its one final answer. The table owns all flows that are open.
+// A flow is one client request, from admission to its single final response. FlowTable owns all open flows.
 #ifndef UMBERDYKE_FLOW_FLOW_H_
 #define UMBERDYKE_FLOW_FLOW_H_
 
@@ -18,26 +18,26 @@
 
 struct Flow {
   enum class State {
-    kDeciding,   // the module has it
+    kDeciding,   // the decision module has it and no attempt is in flight
     kInFlight,   // an attempt is in flight
-    kResponded,  // the one final answer is written, or nobody waits for it any more
+    kResponded,  // the final response was written, or has begun if it is streamed
   };
 
   FlowId id = 0;
   FlowRequest request;
   EdgeConnection* edge = nullptr;
   State state = State::kDeciding;
-  Time received{};
-  Time deadline{};  // when the client gives up
-  int attempts = 0;
-  int attempts_in_flight = 0;     // attempts in flight
-  bool may_have_run = false;      // an attempt ended in a way that does not prove the contrary
-  bool receiving_body = false;    // its long body is still coming
-  bool body_partly_sent = false;  // and some of it has gone on to a server: it can't be sent again
-  bool body_sent = false;
-  Span attempt_timeout{};           // of the attempt that is out, from its last byte on
-  bool streaming_response = false;  // its long answer has message_started to reach the client
-  int unfit_status = 0;             // the status with which a real server found the request itself at fault
+  Time received{};   // when the whole request had arrived
+  Time deadline{};   // when the client gives up
+  int attempts = 0;  // started so far
+  int attempts_in_flight = 0;
+  bool may_have_run = false;        // an ended attempt may have executed the request
+  bool receiving_body = false;      // the streaming body has not fully arrived
+  bool body_partly_sent = false;    // part of the body was forwarded: the request can't be resent
+  bool body_sent = false;           // all of the body was forwarded
+  Span attempt_timeout{};           // of the current attempt, from the request's last byte on
+  bool streaming_response = false;  // a streaming response has begun to reach the client
+  int unfit_status = 0;             // status of a real server that found the request invalid; 0: none
   std::unique_ptr<Timer> deadline_timer;
 };
 
@@ -66,7 +66,7 @@
     for (auto& [id, flow] : flows_) visit(*flow);
   }
   size_t size() const { return flows_.size(); }
-  // Those whose request has come whole.
+  // The number of flows whose request has fully arrived.
   size_t fully_received() const {
     return static_cast<size_t>(
         std::count_if(flows_.begin(), flows_.end(), [](const auto& f) { return !f.second->receiving_body; }));
@@ -74,7 +74,7 @@
 
  private:
   FlowId last_id_ = 0;
-  std::unordered_set<std::string> request_ids_;  // the clients' own, of the open flows
+  std::unordered_set<std::string> request_ids_;  // the client-chosen ids of the open flows
   std::unordered_map<FlowId, std::unique_ptr<Flow>> flows_;
 };
 
--- a/src/flow/relay.cpp
+++ b/src/flow/relay.cpp
@@ -3,7 +3,7 @@
 namespace umberdyke::net {
 namespace {
 
-// Behind an answer to half a body the rest of that body would come.
+// Not if the request body is incomplete: its remainder would follow the response.
 bool KeepAlive(const Flow& flow, bool draining) {
   return flow.request.message.keep_alive && !draining && !flow.receiving_body;
 }
@@ -42,7 +42,7 @@
   return FlowEnd::kFailed;
 }
 
-// A refusal tells the client that it may send the request anew: a second effect, if this one had one.
+// A rejection invites the client to retry, which could execute a non-idempotent request twice.
 bool ResponseWriter::MayReject(const Flow& flow) const {
   if (!flow.may_have_run && flow.attempts_in_flight == 0) return true;
   const RequestClass& c = settings_.classes[static_cast<size_t>(flow.request.request_class)];
--- a/src/flow/relay.h
+++ b/src/flow/relay.h
@@ -1,4 +1,4 @@
-// The fifth stage: writes a flow's one final answer to its edge connection.
+// Stage 5: writes a flow's final response to its edge connection.
 #ifndef UMBERDYKE_FLOW_RELAY_H_
 #define UMBERDYKE_FLOW_RELAY_H_
 
@@ -17,13 +17,13 @@
       : platform_(platform), settings_(settings), counters_(counters) {}
 
   FlowEnd SendServed(Flow& flow, const Message& response, bool draining) const;
-  // A long answer goes on as it comes: its head, its pieces, and its end or that there is none. Pieces and
-  // head are false where the client lags.
+  // Streaming responses: head, data, then FinishStreaming or AbortStreaming. BeginStreaming and StreamData
+  // return false if the client lags and the upstream must be paused.
   bool BeginStreaming(Flow& flow, const Message& head, bool draining) const;
   bool StreamData(Flow& flow, std::string data) const { return flow.edge->SendResponseData(std::move(data)); }
   FlowEnd FinishStreaming(Flow& flow) const;
   FlowEnd AbortStreaming(Flow& flow) const;
-  // Says that trying again is harmless, where that is true; else it fails.
+  // Tells the client to retry later; sends a failure instead if a retry might execute the request twice.
   FlowEnd SendRejection(Flow& flow, std::chrono::microseconds retry_after, bool draining) const;
   FlowEnd SendFailure(Flow& flow, bool draining) const;
 
--- a/src/flow/route.cpp
+++ b/src/flow/route.cpp
@@ -5,7 +5,7 @@
 
 using namespace std::chrono_literals;
 
-// An attempt ends this long before the client gives up, so that the module's answer still arrives.
+// Attempts time out this long before the client does: the module's final response must still reach it.
 constexpr Span kResponseMargin = 8ms;
 
 }  // namespace
--- a/src/flow/route.h
+++ b/src/flow/route.h
@@ -1,4 +1,4 @@
-// The third stage: where an attempt goes and how long it may take, or why it can't go.
+// Stage 3: determines an attempt's address and timeout, or that it can't be sent.
 #ifndef UMBERDYKE_FLOW_ROUTE_H_
 #define UMBERDYKE_FLOW_ROUTE_H_
 
@@ -13,17 +13,17 @@
   ServerId server = 0;
   Address address{};
   Span timeout{};
-  Time send_by{};  // its last byte, or never
+  Time send_by{};  // the request's last byte is written by then or never
 };
 
 class AttemptRouter {
  public:
   AttemptRouter(const ServerList& server_list, const Settings& settings)
       : server_list_(server_list), settings_(settings) {}
-  // Nothing where no attempt may go out: an unknown or leaving server, or no time left.
+  // Returns nothing if the server is unknown or leaving, or if no time is left.
   std::optional<AttemptRoute> operator()(const Flow& flow, ServerId server, std::optional<Span> max_timeout,
                                          std::optional<Span> send_within) const;
-  // Whether the list, as it stands now, lets new work go there.
+  // Whether the current server list allows new requests to this server.
   bool AcceptsNewWork(ServerId server) const;
 
  private:
--- a/src/flow/send.cpp
+++ b/src/flow/send.cpp
@@ -29,8 +29,8 @@
   events.on_response_head = [this, key](const Message& head) {
     streaming_.on_response_head(key.first, key.second, head);
   };
-  events.on_response_body = [this, key](std::string piece) {
-    streaming_.on_response_data(key.first, key.second, std::move(piece));
+  events.on_response_body = [this, key](std::string data) {
+    streaming_.on_response_data(key.first, key.second, std::move(data));
   };
   events.on_done = [this, key, server = route.server](ExchangeResult end) {
     attempts_.erase(key);
@@ -56,9 +56,9 @@
   const Attempt* attempt = LatestAttempt(flow);
   if (attempt == nullptr || flow.body_sent || !servers_.HasBufferSpace(attempt->exchange)) return;
   const Framing framing = Platform::FramingOf(flow.request.message, true);
-  if (std::string piece = flow.edge->TakeBody(); !piece.empty()) {
+  if (std::string data = flow.edge->TakeBody(); !data.empty()) {
     if (!std::exchange(flow.body_partly_sent, true)) streaming_.on_body_start(flow.id);
-    servers_.SendBody(attempt->exchange, WriteBodyPart(std::move(piece), framing));
+    servers_.SendBody(attempt->exchange, WriteBodyPart(std::move(data), framing));
   }
   if (flow.receiving_body || !flow.edge->body_consumed()) return;
   flow.body_sent = true;
--- a/src/flow/send.h
+++ b/src/flow/send.h
@@ -1,4 +1,4 @@
-// The fourth stage: carries attempts to the real servers and tells how each ended, once.
+// Stage 4: sends attempts to the real servers and reports the end of each exactly once.
 #ifndef UMBERDYKE_FLOW_SEND_H_
 #define UMBERDYKE_FLOW_SEND_H_
 
@@ -27,13 +27,14 @@
 class AttemptSender {
  public:
   using DoneCallback = std::function<void(AttemptResult)>;
-  using FindOpenFlow = std::function<const Flow*(FlowId)>;  // null where its client has left
+  using FindOpenFlow = std::function<const Flow*(FlowId)>;  // null if its client is gone
   struct StreamingCallbacks {
-    std::function<void(FlowId)> on_writable;    // for more of a long body
-    std::function<void(FlowId)> on_body_start;  // a piece of a long body has left: it is not kept
-    std::function<void(FlowId)> on_body_sent;   // its last byte is written
+    std::function<void(FlowId)> on_writable;  // more of the request body can be sent
+    std::function<void(FlowId)>
+        on_body_start;  // the first part of a body was sent; it is not kept for a retry
+    std::function<void(FlowId)> on_body_sent;  // the last byte of the body was written
     std::function<void(FlowId, int attempt, const Message& head)> on_response_head;
-    std::function<void(FlowId, int attempt, std::string piece)> on_response_data;
+    std::function<void(FlowId, int attempt, std::string data)> on_response_data;
   };
   AttemptSender(RealServers& servers, const AttemptRouter& router, const Platform& platform,
                 FlowMetrics& metrics, Counters& counters, bool allow_parallel_attempts,
@@ -49,14 +50,14 @@
         streaming_(std::move(streaming)) {}
 
   void operator()(Flow& flow, int attempt, const AttemptRoute& route);
-  // More of a long body has come, or its attempt has room for more.
+  // Forwards what has arrived of a streaming body, if the attempt's connection can take more.
   void ForwardBody(Flow& flow);
-  // The client reads its long answer too slowly, or has caught up.
+  // Backpressure: stops or resumes reading a streaming response while the client lags.
   void PauseResponse(const Flow& flow);
   void ResumeResponse(const Flow& flow);
-  // Ends the attempt at once; nothing for one that is over.
+  // Ends the attempt at once; does nothing if it has already ended.
   void Cancel(FlowId flow, int attempt);
-  // The client has gone: attempts that have not left whole never do.
+  // The client is gone: cancels the attempts whose request is not fully written.
   void CancelUnsent(FlowId flow);
   size_t in_flight() const { return attempts_.size(); }
   static Outcome OutcomeOf(const ExchangeResult& end);
@@ -74,7 +75,7 @@
   const Platform& platform_;
   FlowMetrics& metrics_;
   Counters& counters_;
-  const bool allow_parallel_attempts_;  // two attempts of one flow may be in flight together
+  const bool allow_parallel_attempts_;  // two attempts of one flow may be in flight, as for hedged requests
   const FindOpenFlow find_open_flow_;
   const DoneCallback done_;
   const StreamingCallbacks streaming_;
--- a/src/flow/take_in.cpp
+++ b/src/flow/take_in.cpp
@@ -2,10 +2,11 @@
 
 namespace umberdyke::net {
 
-std::optional<FlowRequest> RequestIntake::operator()(EdgeConnection& edge, Message message, bool long_body,
-                                                     bool ready, bool close_after) const {
+std::optional<FlowRequest> RequestIntake::operator()(EdgeConnection& edge, Message message,
+                                                     bool streaming_body, bool ready,
+                                                     bool close_after) const {
   const bool keep_alive = message.keep_alive && !close_after;
-  auto result = platform_.ParseRequest(std::move(message), long_body);
+  auto result = platform_.ParseRequest(std::move(message), streaming_body);
   if (auto* request = std::get_if<FlowRequest>(&result)) {
     counters_.Add("flows_taken");
     return std::move(*request);
--- a/src/flow/take_in.h
+++ b/src/flow/take_in.h
@@ -1,4 +1,4 @@
-// The first stage: makes a flow's request of a message, or answers what is none.
+// Stage 1: turns an HTTP message into a flow request, or responds to it directly.
 #ifndef UMBERDYKE_FLOW_TAKE_IN_H_
 #define UMBERDYKE_FLOW_TAKE_IN_H_
 
@@ -13,15 +13,17 @@
 
 class RequestIntake {
  public:
-  // `refused` hears of each request of a known class that is answered here.
+  // Called for each invalid request whose class is known.
   using InvalidRequestCallback = std::function<void(int request_class)>;
   RequestIntake(const Platform& platform, Counters& counters, InvalidRequestCallback on_invalid_request)
       : platform_(platform), counters_(counters), on_invalid_request_(std::move(on_invalid_request)) {}
-  // Nothing where the message was answered here: the sidecar's own pages and bad requests. `ready` is what
-  // the page of that name says; `leaving` connections end with their next answer.
-  std::optional<FlowRequest> operator()(EdgeConnection& edge, Message message, bool long_body, bool ready,
-                                        bool close_after) const;
+  // Returns nothing if the message was answered here: the sidecar's own pages and invalid requests. `ready`:
+  // what the readiness page reports. `close_after`: the connection closes after its next response.
+  std::optional<FlowRequest> operator()(EdgeConnection& edge, Message message, bool streaming_body,
+                                        bool ready, bool close_after) const;
+  // Responds to input that the parser rejected, then closes the connection.
   void RespondToInvalidRequest(EdgeConnection& edge, ParseResult error) const;
+  // Responds with 408 to a request that did not arrive in time, then closes the connection.
   void RespondToSlowRequest(EdgeConnection& edge) const;
 
  private:
--- a/src/flow/tally.h
+++ b/src/flow/tally.h
@@ -1,5 +1,5 @@
-// The operators' figures: what came of the requests of each class, and attempts written whole. Flows are
-// counted at book and attempts where their last byte is written; nobody else counts.
+// Metrics for operators: request results by class, attempts sent and response latency. FlowRecorder counts
+// flows, AttemptSender counts attempts when their last byte is written; there are no other callers.
 #ifndef UMBERDYKE_FLOW_TALLY_H_
 #define UMBERDYKE_FLOW_TALLY_H_
 
@@ -18,21 +18,21 @@
   kServed,
   kRejected,
   kFailed,
-  kClientGone,  // the client went before its answer was whole
+  kClientGone,  // the client disconnected before the response was complete
 };
 
 class FlowMetrics {
  public:
-  // `records_latency`: somebody may ask how long answers took.
+  // `records_latency`: record the latency histogram, for a sidecar whose metrics can be queried.
   explicit FlowMetrics(const std::vector<std::string>& class_names, bool records_latency = false)
       : records_latency_(records_latency) {
     for (const std::string& name : class_names) figures_.classes.push_back({name, 0, 0, 0});
   }
 
-  void CountFlow(int request_class, FlowEnd ending, Span latency = {}) {
+  void CountFlow(int request_class, FlowEnd end, Span latency = {}) {
     ConsoleMetrics::PerClass& c = figures_.classes.at(static_cast<size_t>(request_class));
-    ++(ending == FlowEnd::kServed ? c.success : ending == FlowEnd::kRejected ? c.overload : c.error);
-    if (ending != FlowEnd::kServed || !records_latency_) return;
+    ++(end == FlowEnd::kServed ? c.success : end == FlowEnd::kRejected ? c.overload : c.error);
+    if (end != FlowEnd::kServed || !records_latency_) return;
     const auto ms =
         static_cast<std::uint64_t>(std::chrono::duration_cast<std::chrono::milliseconds>(latency).count());
     const size_t bins = std::min<size_t>(figures_.slower.size(), static_cast<size_t>(std::bit_width(ms)));
--- a/src/passing/room.h
+++ b/src/passing/room.h
@@ -1,8 +1,8 @@
-// How many bytes the transfers that are under way may hold between them. Pure.
+// Limits the memory used to buffer streaming bodies. Does no I/O.
 //
-// A transfer is one long body in one direction. Each has a window: the side that reads stops while that much
-// waits to be written. All windows together hold a quarter of the memory, and one is never too small to work
-// with.
+// A transfer is one streaming body in one direction. Each has a window: reading pauses while that many bytes
+// wait to be written. All windows together use at most a quarter of the memory, except that no window is
+// smaller than kMinWindow.
 #ifndef UMBERDYKE_PASSING_ROOM_H_
 #define UMBERDYKE_PASSING_ROOM_H_
 
@@ -22,7 +22,7 @@
   void BeginTransfer() { ++transfers_; }
   void EndTransfer() { transfers_ -= transfers_ > 0 ? 1 : 0; }
   size_t transfers() const { return transfers_; }
-  // Two processes of one sidecar have half each.
+  // During a handover two processes of one sidecar share the memory, half each.
   void SetShared(bool shared) { shared_ = shared; }
   size_t window() const {
     const size_t total = memory_ / (shared_ ? 8 : 4);
