--- a/src/loop/datagrams.h
+++ b/src/loop/datagrams.h
@@ -1,5 +1,5 @@
-// A UDP socket on the event loop. Datagrams may be lost, late or repeated; what cannot be sent at once is
-// lost.
+// A UDP socket on the event loop. Datagrams may be lost, delayed or duplicated; one that cannot be sent
+// immediately is dropped.
 #ifndef UMBERDYKE_LOOP_DATAGRAMS_H_
 #define UMBERDYKE_LOOP_DATAGRAMS_H_
 
@@ -19,7 +19,7 @@
   UdpSocket(const UdpSocket&) = delete;
   UdpSocket& operator=(const UdpSocket&) = delete;
 
-  // Returns an empty text, or what went wrong.
+  // Returns an error, or an empty string on success.
   std::string Listen(const Address& address);
   void Send(const Address& to, std::string_view bytes);
   bool open() const { return socket_ != nullptr; }
--- a/src/loop/loop.cpp
+++ b/src/loop/loop.cpp
@@ -18,8 +18,8 @@
 namespace {
 
 constexpr int kBacklog = 511;
-constexpr Span kAcceptAgain = std::chrono::milliseconds(50);
-constexpr int kMostAtOnce = 64;  // connections that are taken before other work has its turn
+constexpr Span kAcceptRetryDelay = std::chrono::milliseconds(50);
+constexpr int kMaxAcceptsPerTurn = 64;  // then other events get their turn
 
 template <typename Handle>
 void CloseHandle(Handle* handle) {
@@ -32,18 +32,17 @@
   std::string bytes;
 };
 
-// Guards against a reset that passes for an end: where one arrives behind bytes that are read in the same
-// turn, libuv tells an end for it. The socket knows: it gives nothing more after an end, and an error after a
-// reset.
-bool EndedWell(const uv_stream_t* stream) {
+// Tells a real end of stream from a reset. libuv reports UV_EOF also for a reset that arrives behind bytes
+// read in the same turn. Another recv tells them apart: it returns 0 after a FIN and an error after a reset.
+bool ReadsEndOfStream(const uv_stream_t* stream) {
   uv_os_fd_t fd = -1;
   char byte = 0;
   if (uv_fileno(reinterpret_cast<const uv_handle_t*>(stream), &fd) != 0) return false;
   return recv(fd, &byte, 1, MSG_PEEK | MSG_DONTWAIT) == 0;
 }
 
-// Rounded up: a timer that fires early would be taken for one that fired on time.
-std::uint64_t WholeMillis(Span span) {
+// Rounds up, because callers assume that a timer never fires early.
+std::uint64_t CeilMillis(Span span) {
   const auto millis = std::chrono::ceil<std::chrono::milliseconds>(span).count();
   return millis > 0 ? static_cast<std::uint64_t>(millis) : 0;
 }
@@ -66,9 +65,9 @@
 
 void Loop::Run() { uv_run(&loop_, UV_RUN_DEFAULT); }
 
-bool Loop::RunUntil(const std::function<bool()>& done, Span most) {
+bool Loop::RunUntil(const std::function<bool()>& done, Span timeout) {
   Timer tick(*this, [] {});
-  const Time end = Clock::now() + most;
+  const Time end = Clock::now() + timeout;
   while (!done() && Clock::now() < end) {
     tick.Start(std::chrono::milliseconds(5));
     uv_run(&loop_, UV_RUN_ONCE);
@@ -77,7 +76,8 @@
 }
 
 void Loop::RunReady() {
-  // A message from one party to another and its answer take a turn each; what is posted takes none.
+  // A message between two sockets of this loop takes one turn, and its answer another; posted tasks take
+  // none.
   for (int turn = 0; turn < 6; ++turn) uv_run(&loop_, UV_RUN_NOWAIT);
 }
 
@@ -88,16 +88,16 @@
     time -= step;
     Clock::test_offset += step;
     uv_update_time(&loop_);
-    const auto nearer = [](uv_handle_t* handle, void* by) {
+    const auto advance_timer = [](uv_handle_t* handle, void* step) {
       if (uv_handle_get_type(handle) != UV_TIMER || uv_is_active(handle) == 0) return;
       auto* timer = reinterpret_cast<uv_timer_t*>(handle);
       const std::uint64_t left = uv_timer_get_due_in(timer);
       const auto passed = static_cast<std::uint64_t>(
-          std::chrono::duration_cast<std::chrono::milliseconds>(*static_cast<Span*>(by)).count());
+          std::chrono::duration_cast<std::chrono::milliseconds>(*static_cast<Span*>(step)).count());
       uv_timer_start(timer, timer->timer_cb, left > passed ? left - passed : 0, 0);
     };
-    Span by = step;
-    uv_walk(&loop_, nearer, &by);
+    Span passed = step;
+    uv_walk(&loop_, advance_timer, &passed);
     RunReady();
   }
 }
@@ -110,11 +110,11 @@
       if (!task.guard.expired()) task.run();
     }
   }
-  std::vector<std::shared_ptr<void>> gone;
-  gone.swap(buried_);
+  std::vector<std::shared_ptr<void>> objects;
+  objects.swap(to_destroy_);
 }
 
-Timer::Timer(Loop& loop, std::function<void()> due) : handle_(new Handle{{}, std::move(due)}) {
+Timer::Timer(Loop& loop, std::function<void()> callback) : handle_(new Handle{{}, std::move(callback)}) {
   uv_timer_init(loop.raw(), &handle_->uv);
   handle_->uv.data = handle_;
 }
@@ -127,17 +127,17 @@
 void Timer::Start(Span delay) {
   uv_update_time(handle_->uv.loop);
   uv_timer_start(
-      &handle_->uv, [](uv_timer_t* t) { static_cast<Handle*>(t->data)->due(); }, WholeMillis(delay), 0);
+      &handle_->uv, [](uv_timer_t* t) { static_cast<Handle*>(t->data)->callback(); }, CeilMillis(delay), 0);
 }
 
 void Timer::Stop() { uv_timer_stop(&handle_->uv); }
 
-Signal::Signal(Loop& loop, int number, std::function<void()> come)
-    : handle_(new Handle{{}, std::move(come)}) {
+Signal::Signal(Loop& loop, int number, std::function<void()> callback)
+    : handle_(new Handle{{}, std::move(callback)}) {
   uv_signal_init(loop.raw(), &handle_->uv);
   handle_->uv.data = handle_;
   uv_signal_start(
-      &handle_->uv, [](uv_signal_t* s, int) { static_cast<Handle*>(s->data)->come(); }, number);
+      &handle_->uv, [](uv_signal_t* s, int) { static_cast<Handle*>(s->data)->callback(); }, number);
 }
 
 Signal::~Signal() {
@@ -145,12 +145,12 @@
   CloseHandle(handle_);
 }
 
-FdWatcher::FdWatcher(Loop& loop, int fd, std::function<void()> come)
-    : fd_(fd), handle_(new Handle{{}, std::move(come)}) {
+FdWatcher::FdWatcher(Loop& loop, int fd, std::function<void()> callback)
+    : fd_(fd), handle_(new Handle{{}, std::move(callback)}) {
   uv_poll_init(loop.raw(), &handle_->uv, fd);
   handle_->uv.data = handle_;
   uv_poll_start(&handle_->uv, UV_READABLE | UV_DISCONNECT,
-                [](uv_poll_t* p, int, int) { static_cast<Handle*>(p->data)->come(); });
+                [](uv_poll_t* p, int, int) { static_cast<Handle*>(p->data)->callback(); });
 }
 
 FdWatcher::~FdWatcher() {
@@ -165,8 +165,8 @@
   std::string host(text.substr(0, colon));
   int port = -1;
   const char* end = text.data() + text.size();
-  const auto [at, error] = std::from_chars(text.data() + colon + 1, end, port);
-  if (error != std::errc() || at != end || port < 0 || port > 65535) return std::nullopt;
+  const auto [parse_end, error] = std::from_chars(text.data() + colon + 1, end, port);
+  if (error != std::errc() || parse_end != end || port < 0 || port > 65535) return std::nullopt;
   Address address{};
   if (host.size() > 2 && host.front() == '[' && host.back() == ']') {
     host = host.substr(1, host.size() - 2);
@@ -185,16 +185,16 @@
 std::string PrintAddress(const Address& address) {
   char name[64] = "";
   if (address.ss_family == AF_INET6) {
-    const auto* six = reinterpret_cast<const sockaddr_in6*>(&address);
-    uv_ip6_name(six, name, sizeof name);
-    return "[" + std::string(name) + "]:" + std::to_string(ntohs(six->sin6_port));
+    const auto* ipv6 = reinterpret_cast<const sockaddr_in6*>(&address);
+    uv_ip6_name(ipv6, name, sizeof name);
+    return "[" + std::string(name) + "]:" + std::to_string(ntohs(ipv6->sin6_port));
   }
-  const auto* four = reinterpret_cast<const sockaddr_in*>(&address);
-  uv_ip4_name(four, name, sizeof name);
-  return std::string(name) + ":" + std::to_string(ntohs(four->sin_port));
+  const auto* ipv4 = reinterpret_cast<const sockaddr_in*>(&address);
+  uv_ip4_name(ipv4, name, sizeof name);
+  return std::string(name) + ":" + std::to_string(ntohs(ipv4->sin_port));
 }
 
-Stream::Stream(Loop& loop, StreamCallbacks* user) : handle_(new Handle{{}, &loop, user, false}) {
+Stream::Stream(Loop& loop, StreamCallbacks* callbacks) : handle_(new Handle{{}, &loop, callbacks, false}) {
   uv_tcp_init(loop.raw(), &handle_->uv);
   handle_->uv.data = handle_;
 }
@@ -206,7 +206,8 @@
                                       const std::unique_ptr<uv_connect_t> owned(r);
                                       auto* handle = static_cast<Handle*>(r->handle->data);
                                       if (failed == 0) uv_tcp_nodelay(&handle->uv, 1);
-                                      if (handle->user != nullptr) handle->user->OnConnected(failed == 0);
+                                      if (handle->callbacks != nullptr)
+                                        handle->callbacks->OnConnected(failed == 0);
                                     });
   if (status == 0) request.release();
   return status == 0;
@@ -231,14 +232,14 @@
         *buffer = uv_buf_init(space.data(), static_cast<unsigned>(space.size()));
       },
       [](uv_stream_t* s, ssize_t count, const uv_buf_t* buffer) {
-        StreamCallbacks* user = static_cast<Handle*>(s->data)->user;
-        if (user == nullptr || count == 0) return;
+        StreamCallbacks* callbacks = static_cast<Handle*>(s->data)->callbacks;
+        if (callbacks == nullptr || count == 0) return;
         if (count < 0) {
           uv_read_stop(s);
-          static_cast<Handle*>(s->data)->closed_cleanly = count == UV_EOF && EndedWell(s);
-          user->OnEnd();
+          static_cast<Handle*>(s->data)->closed_cleanly = count == UV_EOF && ReadsEndOfStream(s);
+          callbacks->OnEnd();
         } else {
-          user->OnData({buffer->base, static_cast<size_t>(count)});
+          callbacks->OnData({buffer->base, static_cast<size_t>(count)});
         }
       });
 }
@@ -250,17 +251,17 @@
 Stream::WriteResult Stream::Write(std::string bytes) {
   auto* stream = reinterpret_cast<uv_stream_t*>(&handle_->uv);
   uv_buf_t buffer = uv_buf_init(bytes.data(), static_cast<unsigned>(bytes.size()));
-  const int now = uv_try_write(stream, &buffer, 1);
-  if (now == static_cast<int>(bytes.size())) return WriteResult::kWritten;
-  if (now < 0 && now != UV_EAGAIN) return WriteResult::kFailed;
+  const int written = uv_try_write(stream, &buffer, 1);
+  if (written == static_cast<int>(bytes.size())) return WriteResult::kWritten;
+  if (written < 0 && written != UV_EAGAIN) return WriteResult::kFailed;
   auto write = std::make_unique<PendingWrite>();
-  write->bytes = now > 0 ? bytes.substr(static_cast<size_t>(now)) : std::move(bytes);
+  write->bytes = written > 0 ? bytes.substr(static_cast<size_t>(written)) : std::move(bytes);
   write->uv.data = write.get();
   buffer = uv_buf_init(write->bytes.data(), static_cast<unsigned>(write->bytes.size()));
   const int status = uv_write(&write->uv, stream, &buffer, 1, [](uv_write_t* w, int failed) {
     const std::unique_ptr<PendingWrite> owned(static_cast<PendingWrite*>(w->data));
     auto* handle = static_cast<Handle*>(w->handle->data);
-    if (handle->user != nullptr) handle->user->OnWritten(failed == 0);
+    if (handle->callbacks != nullptr) handle->callbacks->OnWritten(failed == 0);
   });
   if (status != 0) return WriteResult::kFailed;
   write.release();
@@ -277,8 +278,8 @@
 bool Stream::PeerClosed() const {
   uv_os_fd_t fd = -1;
   if (uv_fileno(reinterpret_cast<const uv_handle_t*>(&handle_->uv), &fd) != 0) return false;
-  pollfd asked{fd, POLLRDHUP, 0};
-  return poll(&asked, 1, 0) > 0 && (asked.revents & (POLLRDHUP | POLLHUP | POLLERR)) != 0;
+  pollfd poll_fd{fd, POLLRDHUP, 0};
+  return poll(&poll_fd, 1, 0) > 0 && (poll_fd.revents & (POLLRDHUP | POLLHUP | POLLERR)) != 0;
 }
 
 size_t Stream::unwritten() const {
@@ -289,19 +290,19 @@
 
 void Stream::LimitUnsentBytes() {
   uv_os_fd_t fd = -1;
-  const int most = 64 * 1024;
+  const int limit = 64 * 1024;
   if (uv_fileno(reinterpret_cast<const uv_handle_t*>(&handle_->uv), &fd) == 0) {
-    setsockopt(fd, IPPROTO_TCP, TCP_NOTSENT_LOWAT, &most,
-               sizeof most);  // a kernel without it only holds more
+    setsockopt(fd, IPPROTO_TCP, TCP_NOTSENT_LOWAT, &limit,
+               sizeof limit);  // on failure the kernel only buffers more
   }
 }
 
 void Stream::Reset() {
   if (handle_ == nullptr) return;
-  handle_->user = nullptr;
+  handle_->callbacks = nullptr;
   Handle* const handle = std::exchange(handle_, nullptr);
-  const auto gone = [](uv_handle_t* h) { delete static_cast<Handle*>(h->data); };
-  if (uv_tcp_close_reset(&handle->uv, gone) != 0) CloseHandle(handle);
+  const auto delete_handle = [](uv_handle_t* h) { delete static_cast<Handle*>(h->data); };
+  if (uv_tcp_close_reset(&handle->uv, delete_handle) != 0) CloseHandle(handle);
 }
 
 void Stream::EndSending() {
@@ -314,7 +315,7 @@
 
 void Stream::Close() {
   if (handle_ == nullptr) return;
-  handle_->user = nullptr;
+  handle_->callbacks = nullptr;
   CloseHandle(handle_);
   handle_ = nullptr;
 }
@@ -329,10 +330,10 @@
 
 void Stream::Abort() { HasUnackedBytes() ? Reset() : Close(); }
 
-Listener::Listener(Loop& loop, std::function<void()> come)
-    : loop_(loop), come_(std::move(come)), again_(loop, [this] { Resume(); }) {}
+Listener::Listener(Loop& loop, std::function<void()> callback)
+    : loop_(loop), on_connection_(std::move(callback)), retry_timer_(loop, [this] { Resume(); }) {}
 
-std::string Listener::Start(int fd) {
+std::string Listener::StartListening(int fd) {
   int status = uv_translate_sys_error(listen(fd, kBacklog) == 0 ? 0 : errno);
   auto handle = std::make_unique<Handle>();
   if (status == 0) status = uv_poll_init(loop_.raw(), &handle->uv, fd);
@@ -350,60 +351,61 @@
 
 void Listener::Resume() {
   if (handle_ == nullptr) return;
-  again_.Stop();
+  retry_timer_.Stop();
   uv_poll_start(&handle_->uv, UV_READABLE, [](uv_poll_t* p, int, int) {
-    if (auto* listener = static_cast<Handle*>(p->data)->listener; listener != nullptr) listener->Come();
+    if (auto* listener = static_cast<Handle*>(p->data)->listener; listener != nullptr) listener->OnReadable();
   });
 }
 
 void Listener::Pause() {
-  again_.Stop();
+  retry_timer_.Stop();
   if (handle_ != nullptr) uv_poll_stop(&handle_->uv);
 }
 
-// Several at once, as the loop's other work between them would keep them waiting; but not all there may be.
-void Listener::Come() {
+// Accepts several connections per turn, so they need not wait for other events in between, up to a limit.
+void Listener::OnReadable() {
   const Handle* const handle = handle_;
-  for (int i = 0; i < kMostAtOnce; ++i) {
-    took_ = false;
-    come_();
-    if (handle->listener == nullptr || !took_ || !HasPendingConnection()) return;
+  for (int i = 0; i < kMaxAcceptsPerTurn; ++i) {
+    accepted_ = false;
+    on_connection_();
+    if (handle->listener == nullptr || !accepted_ || !HasPendingConnection()) return;
   }
 }
 
 std::optional<int> Listener::Accept() {
   const int fd = accept4(fd_, nullptr, nullptr, SOCK_NONBLOCK | SOCK_CLOEXEC);
-  took_ = fd >= 0;
-  out_of_descriptors_ = !took_ && (errno == EMFILE || errno == ENFILE || errno == ENOBUFS || errno == ENOMEM);
+  accepted_ = fd >= 0;
+  out_of_descriptors_ =
+      !accepted_ && (errno == EMFILE || errno == ENFILE || errno == ENOBUFS || errno == ENOMEM);
   if (out_of_descriptors_) {
     Pause();
-    again_.Start(kAcceptAgain);
+    retry_timer_.Start(kAcceptRetryDelay);
   }
-  return took_ ? std::optional(fd) : std::nullopt;
+  return accepted_ ? std::optional(fd) : std::nullopt;
 }
 
-std::string Listener::Listen(const Address& address, bool beside) {
-  const auto failed = [] { return std::string(uv_strerror(uv_translate_sys_error(errno))); };
+std::string Listener::Listen(const Address& address, bool reuse_port) {
+  const auto system_error = [] { return std::string(uv_strerror(uv_translate_sys_error(errno))); };
   const int fd = socket(address.ss_family, SOCK_STREAM | SOCK_CLOEXEC | SOCK_NONBLOCK, 0);
-  if (fd < 0) return failed();
+  if (fd < 0) return system_error();
   const int on = 1;
   const socklen_t size = address.ss_family == AF_INET6 ? sizeof(sockaddr_in6) : sizeof(sockaddr_in);
   const bool bound = setsockopt(fd, SOL_SOCKET, SO_REUSEADDR, &on, sizeof on) == 0 &&
-                     (!beside || setsockopt(fd, SOL_SOCKET, SO_REUSEPORT, &on, sizeof on) == 0) &&
+                     (!reuse_port || setsockopt(fd, SOL_SOCKET, SO_REUSEPORT, &on, sizeof on) == 0) &&
                      bind(fd, reinterpret_cast<const sockaddr*>(&address), size) == 0;
-  if (bound) return Start(fd);
-  std::string why = failed();
+  if (bound) return StartListening(fd);
+  std::string error = system_error();
   close(fd);
-  return why;
+  return error;
 }
 
 bool Listener::IsAddressInUse(const std::string& error) { return error == uv_strerror(UV_EADDRINUSE); }
 
-std::string Listener::Adopt(int fd) { return Start(fd); }
+std::string Listener::Adopt(int fd) { return StartListening(fd); }
 
 bool Listener::HasPendingConnection() const {
-  pollfd asked{fd_, POLLIN, 0};
-  return fd_ >= 0 && poll(&asked, 1, 0) > 0 && (asked.revents & POLLIN) != 0;
+  pollfd poll_fd{fd_, POLLIN, 0};
+  return fd_ >= 0 && poll(&poll_fd, 1, 0) > 0 && (poll_fd.revents & POLLIN) != 0;
 }
 
 Address Listener::address() const {
--- a/src/loop/loop.h
+++ b/src/loop/loop.h
@@ -1,4 +1,5 @@
-// The event loop and what lives on it: timers, signals and TCP streams, each closed by its destructor.
+// The event loop (libuv) and its timers, signals, TCP streams and listeners. Each handle is closed by its
+// destructor.
 #ifndef UMBERDYKE_LOOP_LOOP_H_
 #define UMBERDYKE_LOOP_LOOP_H_
 
@@ -16,7 +17,7 @@
 
 namespace umberdyke::net {
 
-// The machine's steady clock, further ahead by what a test has let pass (Loop::AdvanceTime).
+// The steady clock plus the time that a test has skipped with Loop::AdvanceTime.
 struct Clock {
   using duration = std::chrono::steady_clock::duration;
   using rep = duration::rep;
@@ -28,7 +29,7 @@
 };
 using Time = Clock::time_point;
 using Span = Clock::duration;
-// On the same clock, for logs of several processes of one machine.
+// Microseconds on Clock, which all processes of a machine share, so their logs can be merged by it.
 inline std::int64_t MicrosNow() {
   return std::chrono::duration_cast<std::chrono::microseconds>(Clock::now().time_since_epoch()).count();
 }
@@ -43,21 +44,23 @@
   uv_loop_t* raw() { return &loop_; }
   void Run();
   void Stop() { uv_stop(&loop_); }
-  // Runs until `done` holds or `most` has passed; says whether it holds. For tests and tools.
-  bool RunUntil(const std::function<bool()>& done, Span most);
-  // For tests, whose clock it is: lets so much time pass for this loop's timers and the process's clock
-  // without waiting, in small steps, after each of which all that can be read or written is.
+  // Runs until `done` returns true or `timeout` has passed; returns what `done` returns then. For tests and
+  // tools.
+  bool RunUntil(const std::function<bool()>& done, Span timeout);
+  // For tests: moves Clock and this loop's timers forward by `time` without waiting, in steps of 10 ms, and
+  // runs the ready events after each step.
   void AdvanceTime(Span time);
-  // Runs what is ready, without waiting and without time passing.
+  // Runs the ready events without waiting and without advancing the time.
   void RunReady();
-  // Runs `task` before the loop next waits, never from inside this call; not at all once `guard` is gone.
+  // Runs `task` before the loop next waits, never inside this call. Drops it if `guard` has expired by then.
   void Post(std::weak_ptr<void> guard, std::function<void()> task) {
     posted_.push_back({std::move(guard), std::move(task)});
   }
-  // Destroys an object once none of its functions can be on the stack any more.
+  // Deferred destruction: destroys `object` before the loop next waits, when none of its member functions can
+  // be on the stack. Its timers may still fire before that.
   template <typename T>
   void DestroyLater(std::unique_ptr<T> object) {
-    buried_.push_back(std::shared_ptr<T>(std::move(object)));
+    to_destroy_.push_back(std::shared_ptr<T>(std::move(object)));
   }
 
   std::array<char, 16384>& read_buffer() { return read_buffer_; }
@@ -72,14 +75,14 @@
     std::function<void()> run;
   };
   std::vector<Task> posted_;
-  std::vector<std::shared_ptr<void>> buried_;
-  std::array<char, 16384> read_buffer_;  // one read at a time: streams hand the bytes on before the next
+  std::vector<std::shared_ptr<void>> to_destroy_;
+  std::array<char, 16384> read_buffer_;  // for all streams: OnData uses the bytes before the next read
 };
 
-// Fires once for each Start.
+// A one-shot timer. Start on a running timer restarts it.
 class Timer {
  public:
-  Timer(Loop& loop, std::function<void()> due);
+  Timer(Loop& loop, std::function<void()> callback);
   ~Timer();
   Timer(const Timer&) = delete;
   Timer& operator=(const Timer&) = delete;
@@ -90,14 +93,14 @@
  private:
   struct Handle {
     uv_timer_t uv;
-    std::function<void()> due;
+    std::function<void()> callback;
   };
   Handle* handle_;
 };
 
 class Signal {
  public:
-  Signal(Loop& loop, int number, std::function<void()> come);
+  Signal(Loop& loop, int number, std::function<void()> callback);
   ~Signal();
   Signal(const Signal&) = delete;
   Signal& operator=(const Signal&) = delete;
@@ -105,15 +108,15 @@
  private:
   struct Handle {
     uv_signal_t uv;
-    std::function<void()> come;
+    std::function<void()> callback;
   };
   Handle* handle_;
 };
 
-// Owns a descriptor and tells when it can be read; for what is no TCP stream.
+// Owns a descriptor other than a TCP stream and calls back when it is readable or the peer has closed it.
 class FdWatcher {
  public:
-  FdWatcher(Loop& loop, int fd, std::function<void()> come);
+  FdWatcher(Loop& loop, int fd, std::function<void()> callback);
   ~FdWatcher();
   FdWatcher(const FdWatcher&) = delete;
   FdWatcher& operator=(const FdWatcher&) = delete;
@@ -122,27 +125,27 @@
  private:
   struct Handle {
     uv_poll_t uv;
-    std::function<void()> come;
+    std::function<void()> callback;
   };
   const int fd_;
   Handle* handle_;
 };
 
 using Address = sockaddr_storage;
-// "10.0.0.4:8081" or "[::1]:8081".
+// Parses "10.0.0.4:8081" or "[::1]:8081".
 std::optional<Address> ParseAddress(std::string_view text);
 std::string PrintAddress(const Address& address);
-// Of this process's memory, what is in the machine's now; 0 where the system does not say.
+// The resident set size of this process; 0 if the system does not report it.
 std::size_t ResidentBytes();
 
 class Listener;
 
-// What a stream tells the one that uses it. The stream may be closed inside any of these.
+// Callbacks of a stream. Each may close the stream.
 class StreamCallbacks {
  public:
   virtual void OnConnected(bool /*ok*/) {}
   virtual void OnData(std::string_view bytes) = 0;
-  virtual void OnEnd() = 0;  // the other side closed, or the connection broke
+  virtual void OnEnd() = 0;  // the peer closed, or the connection failed
   virtual void OnWritten(bool /*ok*/) {}
 
  protected:
@@ -151,36 +154,38 @@
 
 class Stream {
  public:
-  Stream(Loop& loop, StreamCallbacks* user);
+  Stream(Loop& loop, StreamCallbacks* callbacks);
   ~Stream() { Close(); }
   Stream(const Stream&) = delete;
   Stream& operator=(const Stream&) = delete;
 
-  // OnConnected follows, unless this returns false: then no socket could be had.
+  // Starts to connect; OnConnected reports the result. Returns false, without a callback, if no socket could
+  // be opened.
   bool Connect(const Address& to);
-  // False where nobody waits there, or no descriptor could be had.
+  // Returns false if no connection is pending there, or if the process is out of descriptors.
   bool Accept(Listener& listener);
   void Read();
   void Pause();
-  // kQueued: OnWritten follows.
+  // kQueued: the kernel did not take all bytes; OnWritten is called once it has taken the rest.
   enum class WriteResult { kWritten, kQueued, kFailed };
   WriteResult Write(std::string bytes);
   void EndSending();
-  size_t unwritten() const;  // bytes given to Write that wait here
-  // Long transfers: the kernel holds little that it has not sent, so that a slow reader is soon felt.
+  size_t unwritten() const;  // bytes given to Write that the kernel has not taken yet
+  // For long transfers: limits the unsent bytes in the kernel, so backpressure from a slow reader shows
+  // early.
   void LimitUnsentBytes();
-  // The other side has closed as it should; told with OnEnd.
+  // Inside or after OnEnd: the peer closed with FIN rather than a reset or an error.
   bool closed_cleanly() const { return handle_ != nullptr && handle_->closed_cleanly; }
-  // Closes so that the other side can tell it from an end.
+  // Closes with RST, which the peer can tell from a normal end of stream.
   void Reset();
-  // Nothing waits to be read, and the other side has not closed.
+  // No received bytes are waiting to be read, and the peer has not closed.
   bool ReadWouldBlock() const;
-  // The other side has closed or the connection is broken, also where bytes wait to be read before that.
+  // The peer has closed or the connection is broken, even if unread bytes precede that.
   bool PeerClosed() const;
   void Close();
-  // Some of what was written has not reached the other side yet.
+  // The peer has not yet acknowledged all bytes that the kernel took.
   bool HasUnackedBytes() const;
-  // Closes, and what was written and has not reached the other side yet never does.
+  // Closes and discards bytes that have not reached the peer yet.
   void Abort();
   bool open() const { return handle_ != nullptr; }
 
@@ -188,32 +193,32 @@
   struct Handle {
     uv_tcp_t uv;
     Loop* loop;
-    StreamCallbacks* user;
+    StreamCallbacks* callbacks;
     bool closed_cleanly = false;
   };
   Handle* handle_;
 };
 
-// A listening socket. Connections wait in the kernel's queue until a stream accepts them: none is taken from
-// it that its owner does not want yet, nor any that no descriptor can be had for.
+// A listening socket. Connections stay in the kernel's accept queue until a stream accepts them, so the owner
+// can stop accepting, and none is lost when the process is out of descriptors.
 class Listener {
  public:
-  Listener(Loop& loop, std::function<void()> come);
+  Listener(Loop& loop, std::function<void()> callback);
   ~Listener() { Close(); }
   Listener(const Listener&) = delete;
   Listener& operator=(const Listener&) = delete;
-  // Returns an empty text, or what went wrong. `beside`: others that say so too may listen at the same
-  // address.
-  std::string Listen(const Address& address, bool beside = false);
-  static bool IsAddressInUse(const std::string& error);  // another holds the address
-  // Listens on a socket that does so already; owns it from now on.
+  // Returns an error, or an empty string on success. With `reuse_port` (SO_REUSEPORT), other sockets that set
+  // it too may listen at the same address.
+  std::string Listen(const Address& address, bool reuse_port = false);
+  static bool IsAddressInUse(const std::string& error);  // `error` is one of Listen
+  // Takes ownership of a socket that already listens. Returns as Listen does.
   std::string Adopt(int fd);
-  bool HasPendingConnection() const;  // somebody is in the kernel's queue
-  // Those that come are told of no more, or again.
+  bool HasPendingConnection() const;
+  // Stop and start the callbacks for new connections.
   void Pause();
   void Resume();
-  // The next connection's descriptor, or none: nobody waits, or, as `out_of_descriptors` says, none can be
-  // had. It waits then, and is told of again after a while.
+  // Returns the next connection's descriptor, or none if the queue is empty or, as out_of_descriptors()
+  // tells, the process or system is out of descriptors or memory. Then the callbacks pause for 50 ms.
   std::optional<int> Accept();
   bool out_of_descriptors() const { return out_of_descriptors_; }
   int fd() const { return fd_; }
@@ -222,19 +227,19 @@
   void Close();
 
  private:
-  std::string Start(int fd);
-  void Come();
+  std::string StartListening(int fd);
+  void OnReadable();
   struct Handle {
     uv_poll_t uv;
     Listener* listener;
   };
   Loop& loop_;
-  const std::function<void()> come_;
+  const std::function<void()> on_connection_;
   bool open_ = true;
   bool out_of_descriptors_ = false;
-  bool took_ = false;
+  bool accepted_ = false;
   int fd_ = -1;
-  Timer again_;
+  Timer retry_timer_;
   Handle* handle_ = nullptr;
 };
 
