--- a/src/console/console.cpp
+++ b/src/console/console.cpp
@@ -9,66 +9,66 @@
 
 using namespace std::chrono_literals;
 
-constexpr Span kSlowest = 2s;    // for the whole of a call, from the connect on
-constexpr Span kLinger = 400ms;  // for the caller to read the answer and close
+constexpr Span kRequestTimeout = 2s;  // from the accept until the whole request is read
+constexpr Span kLinger = 400ms;       // for the client to read the response and close
 
 }  // namespace
 
-class Console::Caller : public StreamCallbacks {
+class Console::Connection : public StreamCallbacks {
  public:
-  Caller(Console& console)
-      : console_(console), stream_(console.loop_, this), patience_(console.loop_, [this] { Late(); }) {}
+  Connection(Console& console)
+      : console_(console), stream_(console.loop_, this), timeout_(console.loop_, [this] { OnTimeout(); }) {}
 
   bool Accept(Listener& listener) {
     if (!stream_.Accept(listener)) return false;
     stream_.Read();
-    patience_.Start(kSlowest);
+    timeout_.Start(kRequestTimeout);
     return true;
   }
-  // Its time ends with it: what is buried lives on until the loop has run the timers that are due.
+  // Stops the timer too: before the deferred destruction the loop still runs the timers that are due.
   void Close() {
-    patience_.Stop();
+    timeout_.Stop();
     stream_.Close();
   }
   bool answered() const { return answered_; }
 
  private:
   void OnData(std::string_view bytes) override {
-    if (answered_) return;  // one call a connection: what follows is read and thrown away
+    if (answered_) return;  // one request per connection: later bytes are discarded
     size_t used = 0;
     const ParseResult parsed = parser_.Feed(bytes, &used);
     if (parsed == ParseResult::kIncomplete) return;
-    if (parsed == ParseResult::kComplete) return Answer(console_.AnswerTo(parser_.Take()));
+    if (parsed == ParseResult::kComplete) return Respond(console_.HandleRequest(parser_.Take()));
     console_.counters_.Add("console_malformed");
-    Answer(ConsoleErrorResponse(ConsoleErrorFor(parsed)));
+    Respond(ConsoleErrorResponse(ConsoleErrorFor(parsed)));
   }
-  void OnEnd() override { console_.Leave(*this); }
+  void OnEnd() override { console_.Remove(*this); }
   void OnWritten(bool ok) override {
-    if (!ok) console_.Leave(*this);
+    if (!ok) console_.Remove(*this);
   }
 
-  // Closed with input unread it would take the answer along: it lingers until the caller has closed.
-  void Answer(std::string bytes) {
+  // Lingers until the client closes: closing with unread input sends a reset, which can lose the response.
+  void Respond(std::string bytes) {
     answered_ = true;
-    patience_.Start(kLinger);
+    timeout_.Start(kLinger);
     if (stream_.Write(std::move(bytes)) != Stream::WriteResult::kFailed) stream_.EndSending();
   }
 
-  void Late() {
-    if (answered_ || !parser_.message_started()) return console_.Leave(*this);
+  void OnTimeout() {
+    if (answered_ || !parser_.message_started()) return console_.Remove(*this);
     console_.counters_.Add("console_slow");
-    Answer(ConsoleErrorResponse(ConsoleErrorFor(ParseResult::kIncomplete)));
+    Respond(ConsoleErrorResponse(ConsoleErrorFor(ParseResult::kIncomplete)));
   }
 
   Console& console_;
   Stream stream_;
   HttpParser parser_{HttpParser::Kind::kRequest};
   bool answered_ = false;
-  Timer patience_;
+  Timer timeout_;
 };
 
 Console::Console(Loop& loop, ConsoleOwner& owner, ConsoleIdentity identity, Counters& counters, log::Log& log,
-                 int most_callers)
+                 int max_connections)
     : loop_(loop),
       owner_(owner),
       identity_(std::move(identity)),
@@ -77,52 +77,54 @@
              {{"sites",
                {[&owner](const std::string& text) { return owner.CheckZonePlan(text); },
                 [&owner](const std::string& text) { owner.ApplyZonePlan(text); }}}}),
-      most_callers_(static_cast<size_t>(std::max(1, most_callers))),
-      listener_(loop, [this] { Come(); }) {}
+      max_connections_(static_cast<size_t>(std::max(1, max_connections))),
+      listener_(loop, [this] { OnConnection(); }) {}
 
 Console::~Console() = default;
 
-void Console::Come() {
-  if (callers_.size() >= most_callers_) MakeRoom();
-  auto caller = std::make_unique<Caller>(*this);
-  if (!caller->Accept(listener_)) {
+void Console::OnConnection() {
+  if (connections_.size() >= max_connections_) EvictOne();
+  auto connection = std::make_unique<Connection>(*this);
+  if (!connection->Accept(listener_)) {
     counters_.Add("console_not_accepted");
     return;
   }
-  callers_.push_back(std::move(caller));
+  connections_.push_back(std::move(connection));
 }
 
-// Answered ones only linger; of the others the oldest has had the longest time to send its call.
-void Console::MakeRoom() {
-  auto it = std::find_if(callers_.begin(), callers_.end(), [](const auto& c) { return c->answered(); });
-  if (it == callers_.end()) it = callers_.begin();
+// Prefers an answered connection, which only lingers; else the oldest, which has had the longest time to send
+// its request.
+void Console::EvictOne() {
+  auto it =
+      std::find_if(connections_.begin(), connections_.end(), [](const auto& c) { return c->answered(); });
+  if (it == connections_.end()) it = connections_.begin();
   counters_.Add("console_shed");
-  Leave(**it);
+  Remove(**it);
 }
 
-std::string Console::AnswerTo(const Message& message) {
-  auto call = ParseConsoleRequest(message);
-  if (const auto* none = std::get_if<ConsoleError>(&call)) {
+std::string Console::HandleRequest(const Message& message) {
+  auto request = ParseConsoleRequest(message);
+  if (const auto* error = std::get_if<ConsoleError>(&request)) {
     counters_.Add("console_bad_calls");
-    return ConsoleErrorResponse(*none);
+    return ConsoleErrorResponse(*error);
   }
   counters_.Add("console_calls");
-  if (auto* order = std::get_if<FleetOrder>(&call)) return notes_.Take(std::move(*order));
-  if (const auto* note = std::get_if<FleetNoteRequest>(&call)) return notes_.Show(*note);
-  if (const auto* end = std::get_if<EndProcess>(&call)) return End(*end);
-  return AnswerTo(std::get<ConsoleEndpoint>(call));
+  if (auto* order = std::get_if<FleetOrder>(&request)) return notes_.HandleOrder(std::move(*order));
+  if (const auto* note = std::get_if<FleetNoteRequest>(&request)) return notes_.HandleNoteRequest(*note);
+  if (const auto* end = std::get_if<EndProcess>(&request)) return EndThisProcess(*end);
+  return HandleEndpoint(std::get<ConsoleEndpoint>(request));
 }
 
-// The end of this process and of no other: whoever asked knew its life.
-std::string Console::End(const EndProcess& end) {
+// Ends the process only if the request names its `life`, so a restarted sidecar is not ended by mistake.
+std::string Console::EndThisProcess(const EndProcess& end) {
   if (end.life != notes_.life()) return ConsoleResponse(412, "this is another life\n");
   counters_.Add("console_ends");
   std::raise(SIGTERM);
   return ConsoleResponse(200, "ending\n");
 }
 
-std::string Console::AnswerTo(ConsoleEndpoint call) {
-  switch (call) {
+std::string Console::HandleEndpoint(ConsoleEndpoint endpoint) {
+  switch (endpoint) {
     case ConsoleEndpoint::kReady:
       return owner_.ReadyToServe() ? ConsoleResponse(200, "ready\n") : ConsoleResponse(503, "not ready\n");
     case ConsoleEndpoint::kMetrics:
@@ -131,10 +133,10 @@
       return ConsoleResponse(
           200, "name=" + EscapeMetricName(identity_.name) + "\nversion=" UMBERDYKE_VERSION "\ntier=" +
                    std::to_string(identity_.tier) + "\nstate=" + std::string(owner_.StateName()) +
-                   "\nrelease=" + EscapeMetricName(identity_.release) + "\nup_ms=" + std::to_string(UpMs()) +
-                   "\nresident_kb=" + std::to_string(ResidentBytes() / 1024) + "\n" + notes_.Lines() +
-                   owner_.ZoneStatusLines() + FormatMetrics(owner_.CurrentFigures()) +
-                   FormatSlower(owner_.CurrentFigures()));
+                   "\nrelease=" + EscapeMetricName(identity_.release) + "\nup_ms=" +
+                   std::to_string(UptimeMs()) + "\nresident_kb=" + std::to_string(ResidentBytes() / 1024) +
+                   "\n" + notes_.StatusLines() + owner_.ZoneStatusLines() +
+                   FormatMetrics(owner_.CurrentFigures()) + FormatSlower(owner_.CurrentFigures()));
     case ConsoleEndpoint::kDrain:
       return owner_.DrainClients() ? ConsoleResponse(200, "drained\n")
                                    : ConsoleResponse(409, "it is ending\n");
@@ -145,20 +147,20 @@
                                     : ConsoleResponse(409, "it is ending\n");
 }
 
-std::int64_t Console::UpMs() const {
+std::int64_t Console::UptimeMs() const {
   const Time since = owner_.ServingSince();
   if (since == Time()) return 0;
   return std::chrono::duration_cast<std::chrono::milliseconds>(Clock::now() - since).count();
 }
 
-void Console::Leave(Caller& caller) {
-  const auto it =
-      std::find_if(callers_.begin(), callers_.end(), [&](const auto& c) { return c.get() == &caller; });
-  if (!INVARIANT(it != callers_.end(), counters_)) return;
-  std::unique_ptr<Caller> gone = std::move(*it);
-  callers_.erase(it);
-  gone->Close();
-  loop_.DestroyLater(std::move(gone));
+void Console::Remove(Connection& connection) {
+  const auto it = std::find_if(connections_.begin(), connections_.end(),
+                               [&](const auto& c) { return c.get() == &connection; });
+  if (!INVARIANT(it != connections_.end(), counters_)) return;
+  std::unique_ptr<Connection> removed = std::move(*it);
+  connections_.erase(it);
+  removed->Close();
+  loop_.DestroyLater(std::move(removed));
 }
 
 }  // namespace umberdyke::net
--- a/src/console/console.h
+++ b/src/console/console.h
@@ -1,9 +1,9 @@
-// The second address, for operators: is it ready, the figures, send clients away, back to work; and for the
-// agents of the fleet: what it is and does, and the notes of their duties (fleet_notes.h).
+// The console, an HTTP server on a second address. Operators use it for readiness, metrics, drain and
+// activate; fleet agents use it for the sidecar's status and the notes of their duties (fleet_notes.h).
 //
-// It knows the rest of the sidecar only through ConsoleOwner, and never waits: each call is answered in the
-// turn of the loop in which its last byte is read. It is bounded by itself: so many callers at once, each
-// with a deadline; over that the oldest that has not sent a whole call makes room. One call a connection.
+// It reaches the rest of the sidecar only through ConsoleOwner, and never waits: each request is answered in
+// the loop turn that reads its last byte. Each connection serves one request and has a deadline. The number
+// of connections is limited; above the limit an answered one is closed, or else the oldest.
 #ifndef UMBERDYKE_CONSOLE_CONSOLE_H_
 #define UMBERDYKE_CONSOLE_CONSOLE_H_
 
@@ -24,12 +24,13 @@
   virtual bool ReadyToServe() const = 0;
   virtual std::string_view StateName() const = 0;  // one word
   virtual ConsoleMetrics CurrentFigures() const = 0;
-  // Clients are to go elsewhere, and may come back. False: it can't be done any more.
+  // Drains clients to other sidecars, or serves them again. Returns false if the sidecar is already ending.
   virtual bool DrainClients() = 0;
   virtual bool ReactivateClients() = 0;
-  // Since when it serves; Time(): not yet.
+  // When the sidecar began to serve; Time() if it has not yet.
   virtual Time ServingSince() const = 0;
-  // The owner's word on zones: why it cannot be used, or an empty text; and what is known of zones, as lines.
+  // Zone plan of the "sites" duty. CheckZonePlan returns why the text is unusable, or an empty string;
+  // ZoneStatusLines returns the zones' state as "name=value" lines.
   virtual std::string CheckZonePlan(const std::string& /*text*/) const { return "no plan for zones here"; }
   virtual void ApplyZonePlan(const std::string& /*text*/) {}
   virtual std::string ZoneStatusLines() const { return ""; }
@@ -38,41 +39,41 @@
   ~ConsoleOwner() = default;
 };
 
-// Which sidecar it is, for the agents.
+// Identifies this sidecar to the agents.
 struct ConsoleIdentity {
-  std::string application;  // empty: no agent's orders are taken
+  std::string application;  // if empty, all orders of agents are rejected
   std::string name;
   int tier = 0;
-  std::string release{};  // the label of the version that an agent started it as; empty: nobody's
+  std::string release{};  // label of the version that an agent started; empty if no agent started it
 };
 
 class Console {
  public:
   Console(Loop& loop, ConsoleOwner& owner, ConsoleIdentity identity, Counters& counters, log::Log& log,
-          int most_callers);
+          int max_connections);
   ~Console();
 
-  // Returns an empty text, or what went wrong.
+  // Returns an error, or an empty string on success.
   std::string Listen(const Address& address) { return listener_.Listen(address); }
   Address address() const { return listener_.address(); }
 
  private:
-  class Caller;
-  void Come();
-  std::string AnswerTo(const Message& message);
-  std::string AnswerTo(ConsoleEndpoint call);
-  std::string End(const EndProcess& end);
-  std::int64_t UpMs() const;
-  void Leave(Caller& caller);
-  void MakeRoom();
+  class Connection;
+  void OnConnection();
+  std::string HandleRequest(const Message& message);
+  std::string HandleEndpoint(ConsoleEndpoint endpoint);
+  std::string EndThisProcess(const EndProcess& end);
+  std::int64_t UptimeMs() const;
+  void Remove(Connection& connection);
+  void EvictOne();
 
   Loop& loop_;
   ConsoleOwner& owner_;
   const ConsoleIdentity identity_;
   Counters& counters_;
   FleetNotes notes_;
-  const size_t most_callers_;
-  std::list<std::unique_ptr<Caller>> callers_;  // oldest first
+  const size_t max_connections_;
+  std::list<std::unique_ptr<Connection>> connections_;  // oldest first
   Listener listener_;
 };
 
--- a/src/console/fleet_notes.h
+++ b/src/console/fleet_notes.h
@@ -1,9 +1,9 @@
-// What the owners of fleet-wide duties have this sidecar hold: for each duty the latest note, taken once and
-// never from an older owner (owner/fence.h). Notes are for people and programs on this host, who can read
-// them while everything else is cut off; nothing of them touches a request.
+// Keeps the latest note of each fleet-wide duty. The leader of a duty sends it in an order, which is applied
+// once and never after an order of a newer leader (owner/fence.h). People and programs on this host can read
+// the notes even when the host is cut off from everything else; requests are not affected by them.
 //
-// This room may not know who sends orders or why. It lives as long as the process: each start has a life of
-// its own, drawn at random, which orders have to name.
+// This module must not depend on who sends orders or why. Its state ends with the process: each process start
+// draws a random id, its `life`, which orders must name.
 #ifndef UMBERDYKE_CONSOLE_FLEET_NOTES_H_
 #define UMBERDYKE_CONSOLE_FLEET_NOTES_H_
 
@@ -19,41 +19,42 @@
 
 namespace umberdyke::net {
 
-// Of a duty whose notes are for this sidecar itself: whether a text can be used, and its use.
+// For a duty whose notes the sidecar itself uses.
 struct NoteHandler {
-  std::function<std::string(const std::string& text)> check;  // why not; empty: it can
-  std::function<void(const std::string& text)> take;
+  // Returns why `text` is unusable, or an empty string.
+  std::function<std::string(const std::string& text)> check;
+  std::function<void(const std::string& text)> apply;
 };
 
 class FleetNotes {
  public:
-  // `application`: whose orders are taken; empty: nobody's. `users` by duty; the others' notes are for
-  // people.
+  // Accepts only orders for `application`; none if it is empty. `handlers` is keyed by duty; the notes of
+  // other duties are only stored.
   FleetNotes(std::string application, Counters& counters, log::Log& log,
-             std::map<std::string, NoteHandler, std::less<>> users = {});
+             std::map<std::string, NoteHandler, std::less<>> handlers = {});
 
-  // The whole answer: 200 taken, or taken before; 404 an unknown duty; 409 of another application, of an
-  // older term or step, or a text that cannot be used; 412 made for another life of this process.
-  std::string Take(FleetOrder order);
-  std::string Show(const FleetNoteRequest& note) const;
+  // Returns the whole HTTP response: 200 if the order is accepted now or was before; 404 for an unknown duty;
+  // 409 for another application, an older term or step, or an unusable text; 412 for another `life`.
+  std::string HandleOrder(FleetOrder order);
+  std::string HandleNoteRequest(const FleetNoteRequest& request) const;
   const std::string& life() const { return life_; }
-  // Lines of "name=value": application, life, and the term, step and age of each duty's note.
-  std::string Lines() const;
+  // Returns "name=value" lines: application, life, each duty's term, step and note age, and the counters.
+  std::string StatusLines() const;
 
  private:
   struct Note {
     owner::Fence fence;
     std::string text;
-    Time taken{};
+    Time accepted_at{};
   };
-  std::string Answer(int status, const std::string& verdict, const Note* note) const;
+  std::string OrderResponse(int status, const std::string& verdict, const Note* note) const;
 
   const std::string application_;
   const std::string life_;
-  const std::map<std::string, NoteHandler, std::less<>> users_;
+  const std::map<std::string, NoteHandler, std::less<>> handlers_;
   Counters& counters_;
   log::Log& log_;
-  std::map<std::string, Note, std::less<>> notes_;  // by duty; those that are known, and no others
+  std::map<std::string, Note, std::less<>> notes_;  // by duty; one entry for each known duty
 };
 
 }  // namespace umberdyke::net
--- a/src/files/files.cpp
+++ b/src/files/files.cpp
@@ -13,11 +13,11 @@
 namespace umberdyke::files {
 namespace {
 
-std::string Why(const std::string& path, const char* what) {
+std::string SystemError(const std::string& path, const char* what) {
   return path + ": " + what + ": " + std::strerror(errno);
 }
 
-// Closes on every way out; a descriptor closed by hand is taken out first.
+// Owns a descriptor. Close() closes it early and returns the result.
 class Descriptor {
  public:
   Descriptor(FileOps& ops, int fd) : ops_(ops), fd_(fd) {}
@@ -55,33 +55,33 @@
   return ops;
 }
 
-ReadResult ReadFile(const std::string& path, size_t most) {
+ReadResult ReadFile(const std::string& path, size_t max_bytes) {
   ReadResult result;
-  // Without waiting: opening a pipe would otherwise wait for its writer.
+  // O_NONBLOCK: otherwise opening a pipe blocks until it has a writer.
   const int fd = open(path.c_str(), O_RDONLY | O_CLOEXEC | O_NONBLOCK);
   if (fd < 0) {
     result.missing = errno == ENOENT;
-    result.error = Why(path, "cannot be opened");
+    result.error = SystemError(path, "cannot be opened");
     return result;
   }
   const Descriptor descriptor(SystemOps(), fd);
-  struct stat about {};
-  if (fstat(fd, &about) != 0 || !S_ISREG(about.st_mode)) {
-    result.error = path + ": is no regular file";
+  struct stat status {};
+  if (fstat(fd, &status) != 0 || !S_ISREG(status.st_mode)) {
+    result.error = path + ": is not a regular file";
     return result;
   }
-  // One byte more than allowed tells that there is more, whatever the size was said to be.
+  // Reads up to one byte above the limit, which shows that the file is too long whatever its reported size.
   std::string text;
   char buffer[65536];
-  while (text.size() <= most) {
-    const ssize_t got = read(fd, buffer, std::min(sizeof buffer, most + 1 - text.size()));
-    if (got < 0 && errno == EINTR) continue;
-    if (got < 0) {
-      result.error = Why(path, "cannot be read");
+  while (text.size() <= max_bytes) {
+    const ssize_t count = read(fd, buffer, std::min(sizeof buffer, max_bytes + 1 - text.size()));
+    if (count < 0 && errno == EINTR) continue;
+    if (count < 0) {
+      result.error = SystemError(path, "cannot be read");
       return result;
     }
-    if (got == 0) break;
-    text.append(buffer, static_cast<size_t>(got));
+    if (count == 0) break;
+    text.append(buffer, static_cast<size_t>(count));
   }
   result.text = std::move(text);
   return result;
@@ -89,44 +89,45 @@
 
 std::string WriteFileAtomically(const std::string& path, std::string_view text, FileOps& ops) {
   if (IsSymlink(path)) return path + ": is a symbolic link, which is not written through";
-  struct stat about {};
-  const bool there = stat(path.c_str(), &about) == 0;
-  if (there && !S_ISREG(about.st_mode)) return path + ": is no regular file";
-  const mode_t mode = there ? about.st_mode & 0777 : 0644;
-  // A name of this process's own; one left by a killed writer of the same number is in nobody's way for long.
-  const std::string draft = path + ".new." + std::to_string(getpid());
-  int fd = ops.OpenNew(draft.c_str(), mode);
-  if (fd < 0 && errno == EEXIST && ops.Remove(draft.c_str()) == 0) fd = ops.OpenNew(draft.c_str(), mode);
-  if (fd < 0) return Why(path, "cannot be written");
+  struct stat status {};
+  const bool exists = stat(path.c_str(), &status) == 0;
+  if (exists && !S_ISREG(status.st_mode)) return path + ": is not a regular file";
+  const mode_t mode = exists ? status.st_mode & 0777 : 0644;
+  // The name contains the process id. A file left by a killed process with the same id is removed below.
+  const std::string temporary = path + ".new." + std::to_string(getpid());
+  int fd = ops.OpenNew(temporary.c_str(), mode);
+  if (fd < 0 && errno == EEXIST && ops.Remove(temporary.c_str()) == 0)
+    fd = ops.OpenNew(temporary.c_str(), mode);
+  if (fd < 0) return SystemError(path, "cannot be written");
   const auto fail = [&](const char* what) {
-    const std::string why = Why(path, what);
-    ops.Remove(draft.c_str());
-    return why;
+    const std::string error = SystemError(path, what);
+    ops.Remove(temporary.c_str());
+    return error;
   };
   {
     Descriptor descriptor(ops, fd);
     while (!text.empty()) {
-      const ssize_t wrote = ops.Write(fd, text.data(), text.size());
-      if (wrote < 0 && errno == EINTR) continue;
-      if (wrote <= 0) return fail("cannot be written");
-      text.remove_prefix(static_cast<size_t>(wrote));
+      const ssize_t written = ops.Write(fd, text.data(), text.size());
+      if (written < 0 && errno == EINTR) continue;
+      if (written <= 0) return fail("cannot be written");
+      text.remove_prefix(static_cast<size_t>(written));
     }
     if (ops.Sync(fd) != 0) return fail("cannot be synced");
     if (descriptor.Close() != 0) return fail("cannot be closed");
   }
-  if (ops.Rename(draft.c_str(), path.c_str()) != 0) return fail("cannot be put in place");
-  // The new file is in place from here on; only whether it outlasts a power cut is open.
+  if (ops.Rename(temporary.c_str(), path.c_str()) != 0) return fail("cannot be renamed into place");
+  // The new file is in place now. Without the sync of its folder it may not survive a power failure.
   const std::string folder = std::filesystem::path(path).parent_path().string();
   const int folder_fd = ops.OpenFolder(folder.empty() ? "." : folder.c_str());
-  if (folder_fd < 0) return Why(path, "is written, but its folder cannot be synced");
+  if (folder_fd < 0) return SystemError(path, "is written, but its folder cannot be synced");
   const Descriptor descriptor(ops, folder_fd);
-  if (ops.Sync(folder_fd) != 0) return Why(path, "is written, but its folder cannot be synced");
+  if (ops.Sync(folder_fd) != 0) return SystemError(path, "is written, but its folder cannot be synced");
   return "";
 }
 
 bool IsSymlink(const std::string& path) {
-  struct stat about {};
-  return lstat(path.c_str(), &about) == 0 && S_ISLNK(about.st_mode);
+  struct stat status {};
+  return lstat(path.c_str(), &status) == 0 && S_ISLNK(status.st_mode);
 }
 
 std::vector<std::string> ListFiles(const std::string& folder, std::string* error) {
--- a/src/files/files.h
+++ b/src/files/files.h
@@ -1,7 +1,7 @@
-// Files as a whole: bounded reading, and writing that leaves the old file or the new one and nothing between.
+// Reads whole files up to a size limit, and replaces files atomically.
 //
-// This room may not know what the files hold. Every call to the system goes through FileOps, so that tests
-// can let each of them fail in turn.
+// This module must not depend on what the files contain. System calls for writing go through FileOps, so
+// tests can make each of them fail.
 #ifndef UMBERDYKE_FILES_FILES_H_
 #define UMBERDYKE_FILES_FILES_H_
 
@@ -15,11 +15,11 @@
 
 namespace umberdyke::files {
 
-// What writing asks of the system; each returns below zero with errno set where it fails.
+// The system calls for writing. Each returns a negative number and sets errno on failure.
 class FileOps {
  public:
   virtual ~FileOps() = default;
-  virtual int OpenNew(const char* path, mode_t mode);  // must not exist; for writing
+  virtual int OpenNew(const char* path, mode_t mode);  // for writing; fails if the file exists
   virtual int OpenFolder(const char* path);
   virtual ssize_t Write(int fd, const char* bytes, size_t count);
   virtual int Sync(int fd);
@@ -29,22 +29,22 @@
 };
 FileOps& SystemOps();
 
-// An empty text, or what went wrong in one line.
 struct ReadResult {
   std::string text;
-  std::string error;
-  bool missing = false;  // there is no such file
+  std::string error;     // one line; empty on success
+  bool missing = false;  // the file does not exist
 };
-// A regular file of at most `most` bytes: no folder, device or pipe, which could be without end.
-ReadResult ReadFile(const std::string& path, size_t most);
+// Reads a regular file, but no folder, device or pipe, which could be endless. Reads one byte more than
+// `max_bytes` if the file is longer than that, so the caller can tell.
+ReadResult ReadFile(const std::string& path, size_t max_bytes);
 
-// Writes beside the file, syncs, and renames over it; then syncs the folder. Where anything fails the old
-// file stays whole and the new one is removed. A link is not written through. Returns an empty text or the
-// error.
+// Writes a temporary file in the same folder, syncs it, renames it over `path` and syncs the folder. If a
+// step up to the rename fails, the old file stays as it was and the temporary file is removed. Fails if
+// `path` is a symbolic link. Returns an error, or an empty string on success.
 std::string WriteFileAtomically(const std::string& path, std::string_view text, FileOps& ops = SystemOps());
 
 bool IsSymlink(const std::string& path);
-// The names of regular files in a folder, sorted.
+// Returns the sorted names of the regular files in a folder; sets `error` if it cannot be listed.
 std::vector<std::string> ListFiles(const std::string& folder, std::string* error);
 
 }  // namespace umberdyke::files
--- a/src/log/event.cpp
+++ b/src/log/event.cpp
@@ -56,15 +56,15 @@
   return kNames[static_cast<size_t>(level)];
 }
 
-bool RateLimit::Take(Event event, Time now, std::uint64_t* held_back) {
+bool RateLimit::Allow(Event event, Time now, std::uint64_t* held_back) {
   *held_back = 0;
   if (!KindOf(event).rate_limited) return true;
   Bucket& bucket = buckets_.at(static_cast<size_t>(event));
-  if (bucket.filled != Time()) {
-    const double passed = std::max(0.0, std::chrono::duration<double>(now - bucket.filled).count());
-    bucket.tokens = std::min(kBurst, bucket.tokens + passed * kRefillPerSecond);
+  if (bucket.refilled_at != Time()) {
+    const double elapsed = std::max(0.0, std::chrono::duration<double>(now - bucket.refilled_at).count());
+    bucket.tokens = std::min(kBurst, bucket.tokens + elapsed * kRefillPerSecond);
   }
-  bucket.filled = now;
+  bucket.refilled_at = now;
   if (bucket.tokens < 1) {
     ++bucket.held_back;
     return false;
--- a/src/log/event.h
+++ b/src/log/event.h
@@ -1,5 +1,5 @@
-// The events that the log tells, under names that stay the same from one version to the next; docs/events.md
-// lists them for operators. Nothing here writes anything.
+// The log events with their stable names and levels, and the rate limit of each event. docs/events.md lists
+// the events for operators. Nothing here does I/O.
 #ifndef UMBERDYKE_LOG_EVENT_H_
 #define UMBERDYKE_LOG_EVENT_H_
 
@@ -58,26 +58,28 @@
   Event event;
   std::string_view name;
   Level level;
-  bool rate_limited;  // at most so many in a while; the start and the end always come through
+  bool rate_limited;  // false for events that must always be logged, such as start and end
 };
 const std::vector<EventKind>& EventKinds();
 const EventKind& KindOf(Event event);
 std::string_view LevelName(Level level);
 
-// Holds each event back that comes too often, and counts what it held back. Pure: the time comes in.
+// A token bucket for each event: suppresses an event that comes too often and counts what it suppressed. Does
+// not read a clock.
 class RateLimit {
  public:
   using Time = std::chrono::steady_clock::time_point;
   static constexpr double kBurst = 20;
   static constexpr double kRefillPerSecond = 2;
 
-  // Whether the event may be told now; then `held_back` says how many of it were not, since the last told.
-  bool Take(Event event, Time now, std::uint64_t* held_back);
+  // Returns whether the event may be logged now. If so, `held_back` is the number of times that it was
+  // suppressed since it was last logged.
+  bool Allow(Event event, Time now, std::uint64_t* held_back);
 
  private:
   struct Bucket {
     double tokens = kBurst;
-    Time filled{};
+    Time refilled_at{};
     std::uint64_t held_back = 0;
   };
   std::array<Bucket, 48> buckets_{};
--- a/src/log/log.cpp
+++ b/src/log/log.cpp
@@ -11,7 +11,7 @@
 namespace umberdyke::log {
 namespace {
 
-spdlog::level::level_enum Of(Level level) {
+spdlog::level::level_enum ToSpdlog(Level level) {
   switch (level) {
     case Level::kDebug:
       return spdlog::level::debug;
@@ -25,7 +25,7 @@
   return spdlog::level::info;
 }
 
-// RFC 3339, to the millisecond.
+// The current UTC time as RFC 3339 with milliseconds.
 std::string Timestamp() {
   const auto now = std::chrono::system_clock::now();
   const auto millis = std::chrono::duration_cast<std::chrono::milliseconds>(now.time_since_epoch()).count();
@@ -40,22 +40,22 @@
 
 }  // namespace
 
-Log::Log(spdlog::sink_ptr sink, Format format, Level least, std::string instance)
+Log::Log(spdlog::sink_ptr sink, Format format, Level min_level, std::string instance)
     : logger_("umberdyke", std::move(sink)), format_(format), instance_(std::move(instance)) {
   if (format == Format::kJson) logger_.set_pattern("%v");
-  logger_.set_level(Of(least));
+  logger_.set_level(ToSpdlog(min_level));
   logger_.flush_on(spdlog::level::debug);
 }
 
 void Log::Say(Event event, const std::string& text, Fields fields) {
   const EventKind& kind = KindOf(event);
-  if (!logger_.should_log(Of(kind.level))) return;
+  if (!logger_.should_log(ToSpdlog(kind.level))) return;
   std::uint64_t held_back = 0;
-  if (!limit_.Take(event, std::chrono::steady_clock::now(), &held_back)) return;
+  if (!limit_.Allow(event, std::chrono::steady_clock::now(), &held_back)) return;
   if (format_ == Format::kText) {
-    const std::string more =
-        held_back == 0 ? "" : " (" + std::to_string(held_back) + " alike were held back)";
-    logger_.log(Of(kind.level), "{}{}", text, more);
+    const std::string suppressed =
+        held_back == 0 ? "" : " (" + std::to_string(held_back) + " similar events were suppressed)";
+    logger_.log(ToSpdlog(kind.level), "{}{}", text, suppressed);
     return;
   }
   nlohmann::ordered_json line = {{"time", Timestamp()},
@@ -67,12 +67,13 @@
     std::visit([&, key = std::string(name)](const auto& v) { line[key] = v; }, value);
   }
   if (held_back > 0) line["held_back"] = held_back;
-  // Names from outside may hold any bytes; a line that is no UTF-8 would be lost to whoever collects it.
-  logger_.log(Of(kind.level), "{}", line.dump(-1, ' ', false, nlohmann::json::error_handler_t::replace));
+  // Names from outside may contain any bytes, and log collectors may drop a line that is not valid UTF-8.
+  logger_.log(ToSpdlog(kind.level), "{}",
+              line.dump(-1, ' ', false, nlohmann::json::error_handler_t::replace));
 }
 
-std::shared_ptr<Log> StderrLog(Format format, Level least, std::string instance) {
-  return std::make_shared<Log>(std::make_shared<spdlog::sinks::stderr_sink_st>(), format, least,
+std::shared_ptr<Log> StderrLog(Format format, Level min_level, std::string instance) {
+  return std::make_shared<Log>(std::make_shared<spdlog::sinks::stderr_sink_st>(), format, min_level,
                                std::move(instance));
 }
 
--- a/src/log/log.h
+++ b/src/log/log.h
@@ -1,6 +1,6 @@
-// The program's log on spdlog: a line of text or a JSON object for each event.
+// The program's log, based on spdlog: one line of text or one JSON object per event.
 //
-// This room may not know what the events are about: whoever tells one brings its text and its fields.
+// This module must not depend on what the events are about: callers pass the text and the fields.
 #ifndef UMBERDYKE_LOG_LOG_H_
 #define UMBERDYKE_LOG_LOG_H_
 
@@ -25,10 +25,11 @@
 
 class Log {
  public:
-  // `instance` is the sidecar's name, in every JSON line.
-  Log(spdlog::sink_ptr sink, Format format, Level least, std::string instance);
+  // `instance` is the sidecar's name, which every JSON line contains. Events below level `min_level` are
+  // dropped.
+  Log(spdlog::sink_ptr sink, Format format, Level min_level, std::string instance);
 
-  // Fields come in JSON lines alone; the text says it all for people.
+  // `fields` are written only in JSON lines, so `text` must be complete without them.
   void Say(Event event, const std::string& text, Fields fields = {});
 
  private:
@@ -39,8 +40,8 @@
 };
 
 // A log on standard error.
-std::shared_ptr<Log> StderrLog(Format format, Level least, std::string instance);
-// A log that nobody reads, for tests.
+std::shared_ptr<Log> StderrLog(Format format, Level min_level, std::string instance);
+// Discards everything; for tests.
 std::shared_ptr<Log> NullLog();
 
 }  // namespace umberdyke::log
--- a/tests/log_test.cpp
+++ b/tests/log_test.cpp
@@ -19,17 +19,17 @@
   const RateLimit::Time start = RateLimit::Time() + 1h;
   std::uint64_t held = 0, all_held = 0, told = 0;
   for (int i = 0; i < 1000; ++i) {
-    told += limit.Take(Event::kModule, start + i * 1ms, &held) ? 1 : 0;
+    told += limit.Allow(Event::kModule, start + i * 1ms, &held) ? 1 : 0;
     all_held += held;
   }
   CHECK(told ==
         static_cast<std::uint64_t>(RateLimit::kBurst) + 1);  // and what one second gives back, less a hair
-  for (int i = 0; i < 1000; ++i) CHECK(limit.Take(Event::kListening, start, &held));
-  REQUIRE(limit.Take(Event::kModule, start + 10s, &held));
+  for (int i = 0; i < 1000; ++i) CHECK(limit.Allow(Event::kListening, start, &held));
+  REQUIRE(limit.Allow(Event::kModule, start + 10s, &held));
   CHECK(all_held + held == 1000 - told);
-  REQUIRE(limit.Take(Event::kModule, start + 10s, &held));
+  REQUIRE(limit.Allow(Event::kModule, start + 10s, &held));
   CHECK(held == 0);
-  CHECK(limit.Take(Event::kReloaded, start, &held));  // each event has its own
+  CHECK(limit.Allow(Event::kReloaded, start, &held));  // each event has its own
 }
 
 TEST_CASE("every event has a name of its own and stands on the operators' page", "[log]") {
