--- a/src/console/console.cpp
+++ b/src/console/console.cpp
@@ -128,7 +128,7 @@
     case ConsoleEndpoint::kReady:
       return owner_.ReadyToServe() ? ConsoleResponse(200, "ready\n") : ConsoleResponse(503, "not ready\n");
     case ConsoleEndpoint::kMetrics:
-      return ConsoleResponse(200, FormatMetrics(owner_.CurrentFigures()));
+      return ConsoleResponse(200, FormatMetrics(owner_.CurrentMetrics()));
     case ConsoleEndpoint::kFleet:
       return ConsoleResponse(
           200, "name=" + EscapeMetricName(identity_.name) + "\nversion=" UMBERDYKE_VERSION "\ntier=" +
@@ -136,7 +136,7 @@
                    "\nrelease=" + EscapeMetricName(identity_.release) + "\nup_ms=" +
                    std::to_string(UptimeMs()) + "\nresident_kb=" + std::to_string(ResidentBytes() / 1024) +
                    "\n" + notes_.StatusLines() + owner_.ZoneStatusLines() +
-                   FormatMetrics(owner_.CurrentFigures()) + FormatSlower(owner_.CurrentFigures()));
+                   FormatMetrics(owner_.CurrentMetrics()) + FormatSlower(owner_.CurrentMetrics()));
     case ConsoleEndpoint::kDrain:
       return owner_.DrainClients() ? ConsoleResponse(200, "drained\n")
                                    : ConsoleResponse(409, "it is ending\n");
--- a/src/console/console.h
+++ b/src/console/console.h
@@ -23,7 +23,7 @@
  public:
   virtual bool ReadyToServe() const = 0;
   virtual std::string_view StateName() const = 0;  // one word
-  virtual ConsoleMetrics CurrentFigures() const = 0;
+  virtual ConsoleMetrics CurrentMetrics() const = 0;
   // Drains clients to other sidecars, or serves them again. Returns false if the sidecar is already ending.
   virtual bool DrainClients() = 0;
   virtual bool ReactivateClients() = 0;
--- a/src/sidecar/sidecar.cpp
+++ b/src/sidecar/sidecar.cpp
@@ -437,7 +437,7 @@
 
 void Sidecar::ApplyZonePlan(const std::string& text) { zones_->Take(text); }
 
-ConsoleMetrics Sidecar::CurrentFigures() const {
+ConsoleMetrics Sidecar::CurrentMetrics() const {
   ConsoleMetrics figures = metrics_.figures();
   figures.concurrent = flows_.fully_received();
   figures.targets = server_list_.listed_count();
--- a/src/sidecar/sidecar.h
+++ b/src/sidecar/sidecar.h
@@ -50,7 +50,7 @@
  private:
   bool ReadyToServe() const override { return lifecycle_.ready(); }
   std::string_view StateName() const override { return lifecycle_.name(); }
-  ConsoleMetrics CurrentFigures() const override;
+  ConsoleMetrics CurrentMetrics() const override;
   bool DrainClients() override;
   bool ReactivateClients() override;
   Time ServingSince() const override { return lifecycle_.since(); }
--- a/tests/fleet/fleet_test.cpp
+++ b/tests/fleet/fleet_test.cpp
@@ -394,7 +394,7 @@
   }
   bool ReadyToServe() const override { return true; }
   std::string_view StateName() const override { return "serving"; }
-  net::ConsoleMetrics CurrentFigures() const override { return {}; }
+  net::ConsoleMetrics CurrentMetrics() const override { return {}; }
   bool DrainClients() override { return true; }
   bool ReactivateClients() override { return true; }
   net::Time ServingSince() const override { return Clock::now(); }
