--- a/tests/console/console_test.cpp
+++ b/tests/console/console_test.cpp
@@ -1,4 +1,4 @@
-// The second address on real sockets: its calls, its bounds, the figures, and sending clients away.
+// The console on real sockets: its requests and limits, the metrics, and draining.
 #include <sys/socket.h>
 #include <unistd.h>
 
@@ -23,19 +23,19 @@
   Message Call(const std::string& line) {
     return AskAt(sidecar->console_address(), line + " HTTP/1.1\r\nHost: c\r\n\r\n");
   }
-  std::map<std::string, int> Figures() {
+  std::map<std::string, int> Metrics() {
     std::istringstream lines(Call("GET /v1/metrics").body);
-    std::map<std::string, int> figures;
+    std::map<std::string, int> metrics;
     for (std::string line; std::getline(lines, line);) {
-      figures[line.substr(0, line.find('='))] = std::stoi(line.substr(line.find('=') + 1));
+      metrics[line.substr(0, line.find('='))] = std::stoi(line.substr(line.find('=') + 1));
     }
-    return figures;
+    return metrics;
   }
   int ReadyPage() { return Ask("GET /-/ready HTTP/1.1\r\n\r\n").status; }
 };
 
-// Guards against a second address that nobody asked for.
-TEST_CASE("no console is opened where none is set, and the variable goes before the file", "[console]") {
+// Guards against a console that listens without being configured.
+TEST_CASE("no console listens unless configured, and the variable overrides the file", "[console]") {
   const std::string text = ConfigText("127.0.0.1:1", "null");
   CHECK_FALSE(ParseConfig(text, NoEnvironment()).console.has_value());
   CHECK(ParseConfig(text, WithConsole()).console.has_value());
@@ -51,8 +51,8 @@
   }
 }
 
-// Guards against calls that are answered as something else, and against dying of them.
-TEST_CASE("every call has its answer, and what is none its error, one to a connection", "[console]") {
+// Guards against wrong responses to valid and invalid requests, and against crashes on invalid ones.
+TEST_CASE("each request gets its response and each invalid one its error, one per connection", "[console]") {
   ConsoleSite site;
   const std::vector<std::pair<std::string, int>> cases = {
       {"GET /v1/readyz HTTP/1.1\r\n\r\n", 200},
@@ -88,12 +88,12 @@
   CHECK(site.ReadyPage() == 200);
 }
 
-// Guards against callers that hold the console shut: silent, half-written, and more than it has room for,
-// while clients hold every descriptor of theirs.
-TEST_CASE("a call is answered within a second whoever else sits there", "[console]") {
+// Guards against callers that block the console: silent ones, ones with half a request, and more than its
+// connection limit, while clients use up all descriptors reserved for clients.
+TEST_CASE("a console request is answered within a second whatever other callers do", "[console]") {
   ConsoleSite site(1, 128);
-  Party::Peer* held = nullptr;
-  site.Script([&](Party::Peer& peer) { held = &peer; });
+  Party::Peer* held_peer = nullptr;
+  site.Script([&](Party::Peer& peer) { held_peer = &peer; });
   std::vector<std::unique_ptr<Client>> others;
   for (int i = 0; i < 80; ++i) {
     others.push_back(site.Connect());
@@ -109,7 +109,7 @@
     CHECK(Clock::now() - start < 1s);
   }
   CHECK(site.sidecar->counters().Of("console_shed") > 0);
-  // Those that stay have an answer or a close within the time that a call may take.
+  // Each remaining caller is answered or closed before the request timeout.
   const Time start = Clock::now();
   CHECK(site.Until([&] {
     return std::all_of(others.begin() + 80, others.end(), [](const auto& c) { return c->ended; });
@@ -117,9 +117,9 @@
   CHECK(Clock::now() - start < 4s);
 }
 
-// Guards against a caller that leaves in the turn of the loop in which its time ends as well: found by the
-// bed, with links that held an answer for as long as a caller may linger.
-TEST_CASE("a caller that leaves as its time ends leaves once", "[console]") {
+// Guards against removing a connection twice when its end is read in the loop turn in which its timer fires.
+// Found on the test cluster, with links that delayed a response for as long as a connection may linger.
+TEST_CASE("a connection that closes as its timer fires is removed once", "[console]") {
   ConsoleSite site;
   const Address console = site.sidecar->console_address();
   for (int i = 0; i < 3; ++i) {
@@ -127,20 +127,20 @@
     REQUIRE(connect(fd, reinterpret_cast<const sockaddr*>(&console), sizeof(sockaddr_in)) == 0);
     const std::string call = "GET /v1/readyz HTTP/1.1\r\n\r\n";
     REQUIRE(write(fd, call.data(), call.size()) == static_cast<ssize_t>(call.size()));
-    // Its end is read at 385 ms, and the same turn of the loop goes on past the 400 ms that it may linger.
+    // The end is read at 385 ms, and the same loop turn lasts past the linger timeout of 400 ms.
     int ends[2];
     REQUIRE(pipe(ends) == 0);
     bool slept = false;
-    const FdWatcher slow(site.loop, ends[0], [&] {
+    const FdWatcher slow_reader(site.loop, ends[0], [&] {
       char byte;
       if (read(ends[0], &byte, 1) == 1) usleep(30'000);
       slept = true;
     });
-    Timer late(site.loop, [&] {
+    Timer close_timer(site.loop, [&] {
       close(fd);
       CHECK(write(ends[1], "x", 1) == 1);
     });
-    late.Start(385ms);
+    close_timer.Start(385ms);
     REQUIRE(site.Until([&] { return slept; }));
     site.loop.RunUntil([] { return false; }, 50ms);
     close(ends[1]);
@@ -148,77 +148,77 @@
   CHECK(site.sidecar->counters().Of("invariant_broken") == 0);
 }
 
-// Guards against figures that miss or double a request, however it ends.
-TEST_CASE("every request is counted once, under its class and how it ended", "[console]") {
+// Guards against metrics that miss a request or count it twice, however it ends.
+TEST_CASE("each request is counted once, by its class and result", "[console]") {
   ConsoleSite site;
   site.Script([](Party::Peer& peer) { peer.Answer(200, "ok"); });
   for (int i = 0; i < 3; ++i) CHECK(site.Ask(Look()).status == 200);
-  std::map<std::string, int> figures = site.Figures();
-  CHECK(figures["success.look"] == 3);
-  CHECK(figures["dispatches"] == 3);
-  CHECK(figures["concurrent"] == 0);
-  CHECK(figures["targets"] == 1);
-  CHECK(figures["targets_disabled"] == 0);
+  std::map<std::string, int> metrics = site.Metrics();
+  CHECK(metrics["success.look"] == 3);
+  CHECK(metrics["dispatches"] == 3);
+  CHECK(metrics["concurrent"] == 0);
+  CHECK(metrics["targets"] == 1);
+  CHECK(metrics["targets_disabled"] == 0);
 
   site.Script([](Party::Peer& peer) { peer.Answer(500, ""); });
   CHECK(site.Ask(Hand()).status == 502);
   site.Script([](Party::Peer& peer) { peer.Answer(400, ""); });
   CHECK(site.Ask(Hand()).status == 400);
-  Party::Peer* held = nullptr;
-  site.Script([&](Party::Peer& peer) { held = &peer; });
+  Party::Peer* held_peer = nullptr;
+  site.Script([&](Party::Peer& peer) { held_peer = &peer; });
   const auto waiting = site.Connect();
   waiting->Send(Hand());
-  REQUIRE(site.Until([&] { return held != nullptr; }));
-  CHECK(site.Figures()["concurrent"] == 1);
-  CHECK(site.Ask(Hand()).status == 409);  // its id is open in another flow
+  REQUIRE(site.Until([&] { return held_peer != nullptr; }));
+  CHECK(site.Metrics()["concurrent"] == 1);
+  CHECK(site.Ask(Hand()).status == 409);  // another flow with this id is open
   waiting->stream.Close();
   REQUIRE(site.Until([&] { return site.sidecar->counters().Of("flows_left") == 1; }));
-  CHECK(site.Ask(Hand("unheard-of")).status == 400);  // of no class: nobody's count
+  CHECK(site.Ask(Hand("unheard-of")).status == 400);  // not counted: it has no class
   CHECK(site.Ask("GET" + Hand().substr(4)).status == 400);
 
   site.Tell(ListText(2, true, {}));
   REQUIRE(site.Until([&] { return site.sidecar->counters().Of("discovery_changes") == 1; }));
   CHECK(site.Ask(Look("300")).status == 503);
-  figures = site.Figures();
-  CHECK(figures["success.look"] == 3);
-  CHECK(figures["overload.look"] == 1);
-  CHECK(figures["error.hand"] == 5);
-  CHECK(figures["success.hand"] + figures["overload.hand"] == 0);
-  CHECK(figures["concurrent"] == 0);
-  CHECK(figures["targets"] == 0);
-  CHECK(figures.size() == 3 * 3 + 4);
+  metrics = site.Metrics();
+  CHECK(metrics["success.look"] == 3);
+  CHECK(metrics["overload.look"] == 1);
+  CHECK(metrics["error.hand"] == 5);
+  CHECK(metrics["success.hand"] + metrics["overload.hand"] == 0);
+  CHECK(metrics["concurrent"] == 0);
+  CHECK(metrics["targets"] == 0);
+  CHECK(metrics.size() == 3 * 3 + 4);
 }
 
-// Guards against counting a server as in use that the module keeps off.
-TEST_CASE("servers that drain or are ejected are listed and disabled", "[console]") {
+// Guards against counting a server as available that the decision module does not use.
+TEST_CASE("draining and ejected servers count as listed and disabled", "[console]") {
   ConsoleSite site(4);
   site.Script([](Party::Peer& peer) { peer.Answer(200, "ok"); });
   REQUIRE(site.Until([&] { return site.watch != nullptr; }));
   site.Tell(ListText(2, false, {ServerLine("s0", site.real[0]->address(), "draining")}));
   REQUIRE(site.Until([&] { return site.sidecar->counters().Of("discovery_changes") == 1; }));
-  std::map<std::string, int> figures = site.Figures();
-  CHECK(figures["targets"] == 4);
-  CHECK(figures["targets_disabled"] == 1);
+  std::map<std::string, int> metrics = site.Metrics();
+  CHECK(metrics["targets"] == 4);
+  CHECK(metrics["targets_disabled"] == 1);
   site.real[1]->script = [](Party::Peer& peer) { peer.stream.Close(); };
   for (int i = 0; i < 30 && site.real[1]->requests == 0; ++i) site.Ask(Look());
-  figures = site.Figures();
-  CHECK(figures["targets"] == 4);
-  CHECK(figures["targets_disabled"] == 2);
+  metrics = site.Metrics();
+  CHECK(metrics["targets"] == 4);
+  CHECK(metrics["targets_disabled"] == 2);
 }
 
-// Guards against a name that would read as another figure, or as two lines.
-TEST_CASE("a hostile class name breaks neither the form nor the line", "[console]") {
-  ConsoleMetrics figures;
-  figures.classes.push_back({"a=7\nsuccess.b", 1, 2, 3});
-  figures.classes.push_back({"", 4, 5, 6});
-  const std::string text = FormatMetrics(figures);
+// Guards against a class name that reads as another metric or as two lines.
+TEST_CASE("special characters in a class name are escaped in the metrics", "[console]") {
+  ConsoleMetrics metrics;
+  metrics.classes.push_back({"a=7\nsuccess.b", 1, 2, 3});
+  metrics.classes.push_back({"", 4, 5, 6});
+  const std::string text = FormatMetrics(metrics);
   CHECK(std::count(text.begin(), text.end(), '\n') == 2 * 3 + 4);
   CHECK(text.find("success.a%3D7%0Asuccess.b=1\n") == 0);
   CHECK(text.find("success.=4\n") != std::string::npos);
 }
 
-// Guards against clients that stay after they were sent away, and against a close that crosses a request.
-TEST_CASE("drained, it says no, serves what comes and lets every connection go", "[console]") {
+// Guards against clients that stay connected after a drain, and against a close that crosses a request.
+TEST_CASE("a drained sidecar is not ready, serves what arrives and closes every connection", "[console]") {
   ConsoleSite site;
   site.Script([](Party::Peer& peer) { peer.Answer(200, "ok"); });
   const auto kept = site.Connect();
@@ -232,8 +232,8 @@
   REQUIRE(site.Call("PUT /v1/sidecar/drain").status == 200);
   CHECK(site.ReadyPage() == 503);
   CHECK(site.Call("GET /v1/readyz").status == 503);
-  CHECK(site.Call("PUT /v1/sidecar/drain").status == 200);  // as often as anybody likes
-  // What still comes is served, on a connection that was there and on a new one, and each is the last there.
+  CHECK(site.Call("PUT /v1/sidecar/drain").status == 200);  // a repeat succeeds too
+  // Requests are still served, on an old connection and on a new one, each as the last of its connection.
   kept->Send(Look());
   REQUIRE(site.Until([&] { return kept->answers.size() == 2; }));
   CHECK(kept->answers[1].status == 200);
@@ -243,7 +243,7 @@
   CHECK_FALSE(late.keep_alive);
   const auto silent = site.Connect();
   REQUIRE(site.Until([&] { return kept->ended; }));
-  CHECK_FALSE(idle->ended);  // not at once: its client may be asking
+  CHECK_FALSE(idle->ended);  // not yet: its client may be sending a request
   REQUIRE(site.Until([&] { return idle->ended && silent->ended; }));
   CHECK(Clock::now() - start < 2s);
 
@@ -253,8 +253,8 @@
   CHECK(site.Ask(Look()).keep_alive);
 }
 
-// Guards against two notices that undo one another.
-TEST_CASE("the life of a sidecar goes on from any order of notices", "[console]") {
+// Guards against drain and activate requests that leave a wrong state.
+TEST_CASE("the sidecar's state is right after drain, activate and end in any order", "[console]") {
   Lifecycle lifecycle;
   CHECK(lifecycle.state() == Lifecycle::State::kStarting);
   CHECK(lifecycle.Drain());
@@ -272,8 +272,8 @@
   CHECK(lifecycle.state() == Lifecycle::State::kShuttingDown);
 }
 
-// Guards against a drain that hides the end, and against an end that the console forgets.
-TEST_CASE("a drain under way ends like any other, and reloads change nothing of it", "[console]") {
+// Guards against a drained sidecar that does not end, and against a console that stops before the end.
+TEST_CASE("a drained sidecar ends as usual, and a reload does not undo the drain", "[console]") {
   ConsoleSite site;
   site.Script([](Party::Peer& peer) { peer.Answer(200, "ok"); });
   CHECK(site.Call("PUT /v1/sidecar/drain").status == 200);
--- a/tests/log_test.cpp
+++ b/tests/log_test.cpp
@@ -1,4 +1,4 @@
-// The log's events: as many as may come, each on the page that lists them, each line whole.
+// The log: rate limits, the list of events in docs/events.md, and the two line formats.
 #include "log/log.h"
 
 #include <spdlog/sinks/ostream_sink.h>
@@ -14,25 +14,25 @@
 
 using namespace std::chrono_literals;
 
-TEST_CASE("events that come too often are held back and counted; the start and end never are", "[log]") {
+TEST_CASE("events that come too often are suppressed and counted; start and end never are", "[log]") {
   RateLimit limit;
   const RateLimit::Time start = RateLimit::Time() + 1h;
-  std::uint64_t held = 0, all_held = 0, told = 0;
+  std::uint64_t suppressed = 0, all_suppressed = 0, allowed = 0;
   for (int i = 0; i < 1000; ++i) {
-    told += limit.Allow(Event::kModule, start + i * 1ms, &held) ? 1 : 0;
-    all_held += held;
+    allowed += limit.Allow(Event::kModule, start + i * 1ms, &suppressed) ? 1 : 0;
+    all_suppressed += suppressed;
   }
-  CHECK(told ==
-        static_cast<std::uint64_t>(RateLimit::kBurst) + 1);  // and what one second gives back, less a hair
-  for (int i = 0; i < 1000; ++i) CHECK(limit.Allow(Event::kListening, start, &held));
-  REQUIRE(limit.Allow(Event::kModule, start + 10s, &held));
-  CHECK(all_held + held == 1000 - told);
-  REQUIRE(limit.Allow(Event::kModule, start + 10s, &held));
-  CHECK(held == 0);
-  CHECK(limit.Allow(Event::kReloaded, start, &held));  // each event has its own
+  CHECK(allowed ==
+        static_cast<std::uint64_t>(RateLimit::kBurst) + 1);  // plus the refill of almost one second
+  for (int i = 0; i < 1000; ++i) CHECK(limit.Allow(Event::kListening, start, &suppressed));
+  REQUIRE(limit.Allow(Event::kModule, start + 10s, &suppressed));
+  CHECK(all_suppressed + suppressed == 1000 - allowed);
+  REQUIRE(limit.Allow(Event::kModule, start + 10s, &suppressed));
+  CHECK(suppressed == 0);
+  CHECK(limit.Allow(Event::kReloaded, start, &suppressed));  // each event has its own bucket
 }
 
-TEST_CASE("every event has a name of its own and stands on the operators' page", "[log]") {
+TEST_CASE("every event has a unique name and is listed in docs/events.md", "[log]") {
   std::ifstream file(UMBERDYKE_SOURCE "/docs/events.md");
   std::stringstream page;
   page << file.rdbuf();
@@ -44,7 +44,7 @@
   }
 }
 
-TEST_CASE("a JSON line holds whatever bytes come, and text stays the default form", "[log]") {
+TEST_CASE("a JSON line can hold any bytes, and text lines drop events below the level", "[log]") {
   std::ostringstream out;
   Log json(std::make_shared<spdlog::sinks::ostream_sink_st>(out), Format::kJson, Level::kInfo, "n1");
   json.Say(Event::kModule, "a\n\"b\" \xff {}", {{"n", std::int64_t{7}}, {"ok", true}});
