--- a/src/membership/discovery_source.cpp
+++ b/src/membership/discovery_source.cpp
@@ -7,20 +7,19 @@
 
 using namespace std::chrono_literals;
 
-// Discovery writes at least every 2 s, and calls there wait in turn for 2 s at most. Two of these spans and a
-// call that is served fit into the 6 s after which all counts as told.
+// Discovery writes a heartbeat at least every 2 s, and calls wait in its queue for at most 2 s. Two of these
+// intervals and one served call fit into the 6 s within which a change must be known.
 constexpr Span kMaxHeartbeatGap = 2300ms;
-constexpr Span kSlowAnswerExtension = 5s;  // beyond that
+constexpr Span kSlowAnswerExtension = 5s;  // on top of kMaxHeartbeatGap
 constexpr Span kPropagationLimit = 6s;
-constexpr Span kPeerReportMaxAge =
-    2s;                              // so long ago at most a peer that was asked several times has answered
-constexpr Span kMinQueuedTime = 1s;  // one that is down refuses sooner
+constexpr Span kPeerReportMaxAge = 2s;  // long enough for several peer queries
+constexpr Span kMinQueuedTime = 1s;     // a discovery that is down refuses calls sooner
 constexpr size_t kMaxItemBytes = 4 * 1024 * 1024;
-// Where lists are pushed, what discovery gets at its return counts at once: a call that does not come up is
-// made again well within the least time that a drain leaves, for as long as it takes.
+// Where lists are pushed, changes that discovery has on its return count at once. A call that does not
+// connect is retried without limit, well within the shortest time that a drain allows.
 constexpr Span kPushRetryDelay = 80ms;
 constexpr Span kPushConnectTimeout = 150ms;
-// What can't be read is asked for anew, first soon, and less and less often where that never helps.
+// An unreadable item is fetched again, first after a short delay, which doubles while it does not help.
 constexpr Span kInitialRefetchDelay = 100ms;
 constexpr Span kMaxRefetchDelay = 10s;
 
@@ -32,14 +31,14 @@
       callbacks_(std::move(callbacks)),
       stream_(loop, this),
       heartbeat_timer_(loop, [this] { OnHeartbeatTimeout(); }) {
-  // Lines may be split anywhere, objects stand on several, and empty lines only say that the watch lives.
+  // Lines may be split anywhere, objects may span several lines, and empty lines are heartbeats.
   parser_.StreamBodyTo([this](std::string_view bytes) {
     if (parser_.message().status != 200 || !stream_.open()) return;
     cutter_.Feed(bytes, [this](std::string_view text) {
       heartbeat_timer_.Start(kMaxHeartbeatGap);
       received_any_ = true;
       callbacks_.on_item(text);
-      return stream_.open();  // told of a change, the module may have ended the watch
+      return stream_.open();  // the decision module may have closed the watch in on_item
     });
   });
   heartbeat_timer_.Start(std::min(connect_time, kMaxHeartbeatGap));
@@ -54,7 +53,7 @@
   if (stream_.Write(request_) == Stream::WriteResult::kFailed) Fail(CallFailure::kUnreachable);
 }
 
-// A head, or a part of an object, is no news: only what is whole puts the end of patience off.
+// Only complete items restart the heartbeat timer; a response head or a part of an object does not.
 void ListWatch::OnData(std::string_view bytes) {
   size_t used = 0;
   bytes_ += static_cast<std::int64_t>(bytes.size());
@@ -67,7 +66,7 @@
   if (parsed != ParseResult::kIncomplete) Fail(CallFailure::kMalformed);
 }
 
-// One that ends before anything was told, after it had waited, was in the queue for too long.
+// A call that was queued and ends without data has timed out in discovery's queue.
 void ListWatch::OnEnd() {
   Fail(WasQueued() && !answered_ && !received_any_ ? CallFailure::kOverloaded : CallFailure::kStreamEnded);
 }
@@ -120,9 +119,9 @@
   if (on && !wanted_) quick_retry_until_ = Clock::now() + kPropagationLimit;
   wanted_ = on;
   if (!on) {
-    EndCall(watch_, "the list is not wanted any more");
-    EndCall(previous_, "the list is not wanted any more");
-    EndCall(slow_, "the list is not wanted any more");
+    EndCall(watch_, "the list is no longer needed");
+    EndCall(previous_, "the list is no longer needed");
+    EndCall(slow_, "the list is no longer needed");
     refetch_timer_.Stop();
   } else if (watch_ == nullptr) {
     CallWhenAllowed();
@@ -133,7 +132,7 @@
   return peer_current_at_ != Time::min() && Clock::now() - peer_current_at_ < kPeerReportMaxAge;
 }
 
-// The module may want to ask sooner than a refusal by discovery allows.
+// The decision module may request a call before the backoff after a refusal has passed.
 void DiscoverySource::CallWhenAllowed() {
   const Time now = Clock::now();
   if (now >= earliest_call_) return StartCall();
@@ -144,21 +143,21 @@
   if (PrintAddress(discovery) == PrintAddress(address_)) return;
   counters_.Add("discovery_moves");
   address_ = discovery;
-  version_ = 0;  // another service may count its versions anew
+  version_ = 0;  // another service may number its versions differently
   quick_retry_until_ = Clock::now() + kPropagationLimit;
   earliest_call_ = {};
   backoff_.Reset();
-  EndCall(slow_, "discovery has moved");
+  EndCall(slow_, "the address of discovery has changed");
   StartReplacementCall();
 }
 
 void DiscoverySource::StartReplacementCall() {
   refetch_timer_.Stop();
-  // A second time before the first has told anything: the watch before both is the one that knows the list.
+  // If a previous replacement has not delivered anything yet, the watch before it still has the list.
   if (previous_ == nullptr) {
     previous_ = std::move(watch_);
   } else {
-    EndCall(watch_, "another call takes its place");
+    EndCall(watch_, "replaced by another call");
   }
   if (wanted_) StartCall();
 }
@@ -166,7 +165,7 @@
 void DiscoverySource::StartCall() {
   counters_.Add("discovery_calls");
   retry_timer_.Stop();
-  // Which of the two watches an item is from shows in whether it is still the new one.
+  // The callbacks compare this pointer with watch_, slow_ and previous_ to find the role of their call.
   const auto place = std::make_shared<ListWatch*>(nullptr);
   watch_ = std::make_unique<ListWatch>(
       loop_, address_, version_, push_mode_ ? kPushConnectTimeout : kMaxHeartbeatGap,
@@ -179,7 +178,8 @@
   *place = watch_.get();
 }
 
-// Whether the present call is the first that waited in turn after an outage: then the next is made at once.
+// Returns whether the current call is the first that discovery queued after an outage. If so, this source
+// retries on its own again.
 bool DiscoverySource::DetectRecovery() {
   if (!watch_->WasQueued() || !std::exchange(unavailable_, false)) return false;
   quick_retry_until_ = Clock::now() + kPropagationLimit;
@@ -187,7 +187,7 @@
   return true;
 }
 
-// Another call is made beside one that is slow, as it may never be answered.
+// Keeps a slow call open and schedules another one, because the slow one may never be answered.
 bool DiscoverySource::KeepSlowCall(const ListWatch* call) {
   if (push_mode_ || call != watch_.get() || slow_ != nullptr) return false;
   DetectRecovery();
@@ -201,16 +201,16 @@
 void DiscoverySource::OnItem(const ListWatch* call, std::string_view text) {
   if (call == slow_.get()) {
     retry_timer_.Stop();
-    EndCall(watch_, "an older call answers");
+    EndCall(watch_, "an older call was answered");
     watch_ = std::move(slow_);
   } else if (call == watch_.get()) {
-    EndCall(slow_, "a newer call answers");
+    EndCall(slow_, "a newer call was answered");
   }
   ProcessItem(text, call != watch_.get());
 }
 
 void DiscoverySource::ProcessItem(std::string_view text, bool from_previous) {
-  if (!from_previous) {  // it lives, and all that came before has been told
+  if (!from_previous) {  // the watch is live and up to date
     quick_retry_until_ = Clock::now() + kPropagationLimit;
     backoff_.Reset();
   }
@@ -222,7 +222,7 @@
   if (!from_previous && !refetch_timer_.running()) {
     version_ = change->full ? change->version : std::max(version_, change->version);
     refetch_delay_ = kInitialRefetchDelay;
-    EndCall(previous_, "a newer call answers");
+    EndCall(previous_, "a newer call was answered");
   }
   callbacks_.on_list(*change, change->full ? ListUpdate::kComplete : ListUpdate::kChanges);
 }
@@ -238,8 +238,7 @@
            {{"version", change.version}, {"full", change.full}, {"servers", servers}, {"after_ms", after}});
 }
 
-// What it said may never be said again: discovery is asked once more for all since the last that could be
-// read.
+// Discovery may never repeat this change. A new call fetches everything since the last readable version.
 void DiscoverySource::OnUnreadableItem(bool from_previous) {
   counters_.Add("discovery_unreadable");
   if (from_previous || refetch_timer_.running()) return;
--- a/src/membership/discovery_source.h
+++ b/src/membership/discovery_source.h
@@ -1,10 +1,10 @@
-// The platform's discovery: a watch over HTTP.
+// Membership from the platform's discovery service, through a long-lived HTTP watch.
 //
-// One clock of silence: whatever discovery has to tell counts as told 6 s after it had it and could be
-// reached. A watch from which nothing whole has come for longer than its beat is broken, and for those 6 s
-// after the last word this source asks again by itself, soon; from then on, when to ask is the module's to
-// say, until a call that is made to wait in turn shows that discovery is back: then they begin anew. Where
-// lists are pushed, what is to be told counts at once, so that it goes on asking soon.
+// A change must be known here within 6 s after discovery has it and can be reached. A watch without a
+// complete item or heartbeat for too long counts as broken. For 6 s after the last sign of life this source
+// retries on its own with short delays; after that the decision module decides when to retry. Once a call is
+// queued by discovery, which shows that it is back, the 6 s start again. Where lists are pushed, changes
+// count at once, and this source keeps retrying with short delays.
 #ifndef UMBERDYKE_MEMBERSHIP_DISCOVERY_SOURCE_H_
 #define UMBERDYKE_MEMBERSHIP_DISCOVERY_SOURCE_H_
 
@@ -20,30 +20,30 @@
 
 namespace umberdyke::net {
 
-// One call for the list and its changes, until it fails or is not wanted any more.
+// One call to discovery for the list and its changes, until it fails or is closed.
 class ListWatch : public StreamCallbacks {
  public:
   struct Callbacks {
-    std::function<void(std::string_view)> on_item;  // whole; empty: only that the watch lives
-    // Nothing whole has come for the time of a heartbeat, though the call was taken: discovery may still be
-    // at work on a long list. It is waited for, if the owner says so.
+    std::function<void(std::string_view)> on_item;  // a complete item; empty for a heartbeat
+    // The connection is up, but no complete item came within the heartbeat interval: discovery may still be
+    // writing a long list. Returns whether to keep waiting for it.
     std::function<bool()> on_slow;
-    std::function<void(CallFailure)> on_failure;  // once; the watch may be destroyed after this returns
+    std::function<void(CallFailure)> on_failure;  // at most once; the watch may be destroyed after it returns
   };
-  // Not up after `connect_time`: broken.
+  // The call fails if it is not connected within `connect_time`.
   ListWatch(Loop& loop, const Address& discovery, std::int64_t version, Span connect_time,
             Callbacks callbacks);
   void Close();
-  // Discovery has let the call wait in its turn: it can be reached, even if the call fails after that.
+  // Whether discovery put the call into its queue, which shows that it is reachable even if the call fails.
   bool WasQueued() const;
-  // Since the call was made, in whole milliseconds.
+  // Whole milliseconds since the call was started.
   std::int64_t AgeMs() const;
-  // Of the answer so far, its head included.
+  // Bytes of the response so far, including its head.
   std::int64_t bytes() const { return bytes_; }
-  // Whether a list or change has come on it.
+  // Whether a list or change has been received on it.
   bool answered() const { return answered_; }
   void MarkAnswered() { answered_ = true; }
-  // Whether anything whole has come, if only an empty line.
+  // Whether any complete item has been received, heartbeats included.
   bool received_any() const { return received_any_; }
 
  private:
@@ -66,13 +66,13 @@
   std::int64_t bytes_ = 0;
   bool answered_ = false;
   bool received_any_ = false;
-  bool waiting_for_slow_answer_ = false;  // its owner waits for it
+  bool waiting_for_slow_answer_ = false;  // on_slow returned true
   Timer heartbeat_timer_;
 };
 
 class DiscoverySource : public MemberSource {
  public:
-  // `version` is the one of the list that the sidecar holds already.
+  // `version`: of the list that the sidecar starts with.
   DiscoverySource(Loop& loop, const Platform& platform, const Config& config, std::int64_t version,
                   Counters& counters, log::Log& log, Callbacks callbacks);
 
@@ -83,15 +83,15 @@
   void Reload(const Config& next) override { ChangeAddress(next.discovery); }
 
  private:
-  // Discovery stands elsewhere from now on. Its list is asked for whole there; the old watch goes on until
-  // the new one tells something.
+  // Switches to discovery at another address and fetches the complete list there. The old watch stays open
+  // until the new one delivers data.
   void ChangeAddress(const Address& discovery);
   void StartCall();
   bool PeersAreCurrent() const;
   void CallWhenAllowed();
   bool DetectRecovery();
   bool KeepSlowCall(const ListWatch* call);
-  // Something else is to be believed from now on: the present watch counts until that tells something.
+  // Starts a call that is to replace the current watch, which stays open until the new call delivers data.
   void StartReplacementCall();
   void OnItem(const ListWatch* call, std::string_view text);
   void ProcessItem(std::string_view text, bool from_previous);
@@ -112,15 +112,15 @@
   std::int64_t version_;
   bool wanted_ = false;
   std::unique_ptr<ListWatch> watch_;
-  std::unique_ptr<ListWatch>
-      previous_;  // at the address before the last move, or one that told what can't be read
-  std::unique_ptr<ListWatch> slow_;     // a call that is waited for while another is made
-  Time quick_retry_until_{};            // calls that fail are made again by this source until then
-  Time peer_current_at_ = Time::min();  // when a peer was last current
-  Time earliest_call_{};                // no call is made sooner, whoever asks
-  bool unavailable_ = false;            // out of reach, or refused at once, for long
+  // At the previous address, or one that sent an unreadable item; kept until a new call delivers data.
+  std::unique_ptr<ListWatch> previous_;
+  std::unique_ptr<ListWatch> slow_;     // a slow call, kept open beside a newer one
+  Time quick_retry_until_{};            // until then this source retries failed calls on its own
+  Time peer_current_at_ = Time::min();  // when a peer last reported a live watch
+  Time earliest_call_{};                // no call starts sooner, even if the module requests it
+  bool unavailable_ = false;            // unreachable, or refusing immediately, for some time
   CallBackoff backoff_;
-  Span refetch_delay_{};  // of calls for what could not be read
+  Span refetch_delay_{};  // delay of the next call after an unreadable item
   Timer retry_timer_;
   Timer refetch_timer_;
 };
--- a/src/membership/file_source.cpp
+++ b/src/membership/file_source.cpp
@@ -33,15 +33,15 @@
 void FileSource::ReadFile() {
   const files::ReadResult read = files::ReadFile(path_, kMaxFileBytes);
   const auto list = read.error.empty() ? platform_.ParseServerList(read.text) : std::nullopt;
-  // A list with a line that makes no sense would drop that server: better the whole old list than half a new
-  // one.
+  // An unreadable entry would drop its server from the list, so the whole file is rejected and the old list
+  // stays.
   const std::string why = !read.error.empty()    ? read.error
-                          : !list                ? path_ + ": is no list of servers"
-                          : list->unreadable > 0 ? path_ + ": holds servers that cannot be read"
+                          : !list                ? path_ + ": not a list of servers"
+                          : list->unreadable > 0 ? path_ + ": contains entries that cannot be parsed"
                                                  : "";
   if (!why.empty()) {
     counters_.Add("membership_file_refused");
-    log_.Say(log::Event::kMembershipRefused, "the list of servers stays as it is: " + why, {{"why", why}});
+    log_.Say(log::Event::kMembershipRefused, "the list of servers stays unchanged: " + why, {{"why", why}});
     return;
   }
   counters_.Add("membership_file_read");
--- a/src/membership/file_source.h
+++ b/src/membership/file_source.h
@@ -1,5 +1,5 @@
-// A list that stands in a file, in discovery's form: for sites whose servers seldom change, and for trying
-// things. It is read at the start and on every reload; a file that cannot be read leaves the list as it is.
+// Membership from a file in discovery's format, for sites whose servers seldom change and for experiments.
+// The file is read at the start and on every reload. If it cannot be read, the list stays unchanged.
 #ifndef UMBERDYKE_MEMBERSHIP_FILE_SOURCE_H_
 #define UMBERDYKE_MEMBERSHIP_FILE_SOURCE_H_
 
@@ -25,7 +25,7 @@
   log::Log& log_;
   const Callbacks callbacks_;
   bool wanted_ = false;
-  Timer read_timer_;  // the list is never told from inside the call that asks for it
+  Timer read_timer_;  // delays on_list until Watch() or Reload() has returned
 };
 
 }  // namespace umberdyke::net
--- a/src/membership/nodes_source.cpp
+++ b/src/membership/nodes_source.cpp
@@ -11,18 +11,18 @@
 using log::Event;
 using reconcile::ServerState;
 
-// Between two readings of the list of names, and more for a long one: a storm of changes is read in one go.
-// Servers that go are told by notices of their own and wait for none of this.
+// Minimum interval between two reads of the list of children, plus a share per server, to batch a burst of
+// changes. Deletions are not delayed by it: they have watch events of their own.
 constexpr Span kMinChildrenReadInterval = 20ms;
 constexpr Span kChildrenReadIntervalPerServer = 10us;
-constexpr Span kStaleViewRetry = 100ms;    // a member that lags is asked again after this
-constexpr Span kMissingPathRetry = 1s;     // the path does not exist yet
-constexpr Span kPublishDelay = 5ms;        // new servers are told together
-constexpr Span kLastKnownRetention = 60s;  // nobody takes a server back that was told gone so long ago
-constexpr Span kSessionRenewDelay = 50ms;  // after a session that has expired
-constexpr Span kRegisterRetry = 500ms;     // after a refusal: a member that writes nothing may do so again
-constexpr const char* kInitialNodePrefix = "known/";  // names for servers of the list that the sidecar
-                                                      // started with: no node has a slash in its name
+constexpr Span kStaleViewRetry = 100ms;    // after a view from a lagging member
+constexpr Span kMissingPathRetry = 1s;     // while the path does not exist
+constexpr Span kPublishDelay = 5ms;        // batches new servers
+constexpr Span kLastKnownRetention = 60s;  // a server reported gone longer ago is never held
+constexpr Span kSessionRenewDelay = 50ms;  // after the session expired
+constexpr Span kRegisterRetry = 500ms;     // after an error; a read-only member may accept writes again
+// Prefix of the node names of the list that the sidecar starts with. Real node names contain no slash.
+constexpr const char* kInitialNodePrefix = "known/";
 
 reconcile::Limits LimitsOf(const Membership& settings) {
   reconcile::Limits limits;
@@ -41,7 +41,7 @@
   if (!read.error.empty()) throw ConfigError("configuration: membership.auth_file: " + read.error);
   while (!read.text.empty() && (read.text.back() == '\n' || read.text.back() == '\r')) read.text.pop_back();
   if (read.text.find(':') == std::string::npos) {
-    throw ConfigError("configuration: membership.auth_file holds no user:password");
+    throw ConfigError("configuration: membership.auth_file does not contain user:password");
   }
   client.auth = std::move(read.text);
   return client;
@@ -67,8 +67,8 @@
       client_(loop, ClientSettingsOf(settings),
               {[this](nodes::Session session) { OnSession(session); },
                [this](nodes::Notice notice, const std::string& path) { OnWatchEvent(notice, path); }}) {
-  // The list that the sidecar starts with stands until the service says otherwise, and is guarded like any
-  // other.
+  // The list that the sidecar starts with is valid until the service reports otherwise, and is protected
+  // against mass removals like any other.
   for (const ListedServer& server : known.servers) {
     const std::string name = kInitialNodePrefix + server.id;
     servers_by_node_[name] = server;
@@ -76,18 +76,18 @@
                            {server.id, PrintAddress(server.address), server.state != UpstreamState::kReady},
                            1, 1);
   }
-  reconciler_.TakeChanges();  // the module has it already
+  reconciler_.TakeChanges();  // the decision module already has these servers
 }
 
 void NodesSource::Watch(bool on) {
-  // Once it follows, it goes on: an ended watch would age the list for nothing.
+  // Never stops once started, because the list would become stale for no benefit.
   wanted_ = wanted_ || on;
   if (wanted_) client_.Start();
 }
 
 void NodesSource::Reload(const Config& next) {
   if (next.membership && *next.membership != settings_) {
-    log_.Say(Event::kMembershipRefused, "changes of membership hold from the next start on",
+    log_.Say(Event::kMembershipRefused, "changes of the membership settings take effect at the next start",
              {{"why", std::string("changed at a reload")}});
   }
 }
@@ -97,7 +97,7 @@
     case nodes::Session::kConnected:
       if (connection_lost_ || !loaded_) {
         log_.Say(Event::kMembershipConnected,
-                 "the coordination service is connected, with " + std::to_string(reconciler_.size()) +
+                 "connected to the coordination service, with " + std::to_string(reconciler_.size()) +
                      " servers known",
                  {{"servers", static_cast<std::int64_t>(reconciler_.size())}});
       }
@@ -108,11 +108,11 @@
       Register();
       return;
     case nodes::Session::kInterrupted:
-      // One line for a run of tries: the service may be away for days.
+      // Logs once per outage, not per connection attempt: the service may be away for days.
       if (!connection_lost_) {
         log_.Say(Event::kMembershipInterrupted,
-                 "the coordination service is out of reach; the list of " +
-                     std::to_string(reconciler_.size()) + " servers stays",
+                 "the coordination service is unreachable; the list of " +
+                     std::to_string(reconciler_.size()) + " servers stays unchanged",
                  {{"servers", static_cast<std::int64_t>(reconciler_.size())}});
         counters_.Add("membership_interrupted");
       }
@@ -120,7 +120,7 @@
       return;
     case nodes::Session::kExpired:
       log_.Say(Event::kMembershipExpired,
-               "the session with the coordination service has expired; a new one is made");
+               "the session with the coordination service has expired; creating a new one");
       counters_.Add("membership_expired");
       connection_lost_ = true;
       registered_ = false;
@@ -130,7 +130,7 @@
       return;
     case nodes::Session::kAuthFailed:
       log_.Say(Event::kMembershipRefused,
-               "the coordination service refuses user and password; the list stays",
+               "the coordination service rejected user and password; the list stays unchanged",
                {{"why", std::string("authentication failed")}});
       counters_.Add("membership_auth_failed");
       return;
@@ -179,18 +179,17 @@
   if (rc == nodes::kClosing) return;
   children_read_in_flight_ = false;
   if (rc == nodes::kNoNode) {
-    // Nobody has registered yet, or the path is wrong: no reason to drop whom we know.
+    // No server has registered yet, or the path is wrong. Neither is a reason to drop known servers.
     counters_.Add("membership_path_missing");
     children_read_due_ = true;
     return children_timer_.Start(kMissingPathRetry);
   }
   if (rc != nodes::kOk) {
-    children_read_due_ = true;  // the next connection asks again
+    children_read_due_ = true;  // read again after the reconnect
     return;
   }
   const std::uint64_t stale = reconciler_.counts().stale_views;
-  // Whoever is missing from the view goes as if a notice had told of it; its data is kept for as long as it
-  // may be needed.
+  // A node missing from the view is handled like a deletion event. Its data is kept while it may be needed.
   const std::vector<std::string> wanted = reconciler_.OnNodeList(Clock::now(), stat.listed, names);
   for (auto it = servers_by_node_.begin(); it != servers_by_node_.end();) {
     if (reconciler_.HasNode(it->first)) {
@@ -210,13 +209,13 @@
   retries.swap(failed_reads_);
   for (const std::string& name : wanted) ReadNode(name);
   for (const std::string& name : retries) ReadNode(name);
-  // What came while this reading was out is read next, at its pace.
+  // A change during this read is picked up by the next one, after the minimum interval.
   if (children_read_due_) children_timer_.Start(kMinChildrenReadInterval);
   SchedulePublish();
 }
 
 void NodesSource::ReadNode(const std::string& name) {
-  // A change that comes while its data is read has a notice of its own once the reading is done.
+  // A change during the read triggers a watch event of its own after the read is done.
   if (!reads_in_flight_.insert(name).second) return;
   counters_.Add("membership_node_reads");
   client_.Get(PathOf(name), [this, name](int rc, const std::string& data, const nodes::NodeStat& stat) {
@@ -232,7 +231,7 @@
   if (rc == nodes::kNoNode) {
     OnNodeDeleted(name);
   } else if (rc != nodes::kOk) {
-    failed_reads_.insert(name);  // the next connection asks again
+    failed_reads_.insert(name);  // read again after the reconnect
     children_read_due_ = true;
   } else if (const auto server = platform_.ParseMember(data, name)) {
     const bool draining = server->state != UpstreamState::kReady;
@@ -246,11 +245,11 @@
   SchedulePublish();
 }
 
-// Those that leave are told at once, and the rest together a little later.
+// Batches all pending state changes.
 void NodesSource::SchedulePublish() { publish_timer_.Start(kPublishDelay); }
 
 void NodesSource::Publish() {
-  // Half of a first list would crowd the servers on it.
+  // An incomplete first list would overload the servers on it.
   if (!loaded_ &&
       (children_read_in_flight_ || !reads_in_flight_.empty() || reconciler_.last_list_zxid() == 0))
     return;
@@ -279,8 +278,8 @@
     const auto held = static_cast<std::int64_t>(reconciler_.counts().held);
     log_.Say(was_holding_ ? Event::kMembershipHolding : Event::kMembershipHeld,
              was_holding_
-                 ? "many servers left the list at once; they are kept while their connections come up"
-                 : "no server is kept against the list any more",
+                 ? "many servers left the list at once; they are kept while connections to them succeed"
+                 : "no removed server is kept any more",
              {{"held", held}});
     counters_.Add(was_holding_ ? "membership_holds" : "membership_holds_ended");
   }
@@ -301,7 +300,7 @@
   SchedulePublish();
 }
 
-// The sidecar's own node, so that those who call it find it as it finds its servers.
+// Creates the sidecar's own node, through which its clients discover it.
 void NodesSource::Register() {
   if (settings_.register_path.empty() || deregistered_ || registered_ || !client_.connected()) return;
   client_.CreateEphemeral(settings_.register_path, own_data_, [this](int rc) {
@@ -309,7 +308,7 @@
       registered_ = true;
       counters_.Add("membership_registered");
     } else if (rc == nodes::kNodeExists && !deregistered_) {
-      // Of an earlier life whose session has not run out: it would vanish under us.
+      // The node belongs to an earlier process whose session has not expired, and would vanish with it.
       client_.Delete(settings_.register_path, [this](int deleted) {
         if (deleted == nodes::kOk || deleted == nodes::kNoNode) Register();
       });
@@ -325,7 +324,7 @@
 void NodesSource::Deregister() {
   deregistered_ = true;
   if (settings_.register_path.empty()) return;
-  // A process that replaces this one has made the node its own; then it is not this one's to take away.
+  // If a successor process already owns the node, this one must not delete it.
   client_.Exists(settings_.register_path, false, [this](int rc, const nodes::NodeStat& stat) {
     if (rc != nodes::kOk || stat.owner != client_.session_id()) return;
     client_.Delete(settings_.register_path, [this](int deleted) {
--- a/src/membership/nodes_source.h
+++ b/src/membership/nodes_source.h
@@ -1,8 +1,8 @@
-// Membership by ephemeral nodes: every server keeps a node in a coordination service, which vanishes with its
-// session. What is told of them goes through the reconciler, which decides what the module hears.
+// Membership from a coordination service: every server keeps an ephemeral node, which vanishes with its
+// session. All node events go through the reconciler, which decides what the decision module is notified of.
 //
-// The service being unreachable changes nothing: the list stays, and nobody is asked to ask again, as the
-// client library does so by itself. docs/membership.md says how nodes are laid out.
+// While the service is unreachable the list stays unchanged. The client library reconnects by itself, so
+// on_failure is never called. docs/membership.md describes the layout of the nodes.
 #ifndef UMBERDYKE_MEMBERSHIP_NODES_SOURCE_H_
 #define UMBERDYKE_MEMBERSHIP_NODES_SOURCE_H_
 
@@ -43,32 +43,32 @@
 
   const Platform& platform_;
   const Membership settings_;
-  const std::string own_data_;  // of this sidecar's own node
+  const std::string own_data_;  // data of this sidecar's own node
   Counters& counters_;
   log::Log& log_;
   const Callbacks callbacks_;
   reconcile::Reconciler reconciler_;
-  std::unordered_map<std::string, ListedServer> servers_by_node_;  // by node's name, as last read
-  // By id, of nodes that went: a server that was told gone may be kept all the same, once it shows that many
-  // went together, and has to be told as it was.
+  std::unordered_map<std::string, ListedServer> servers_by_node_;  // by node name, as last read
+  // Data of servers whose nodes are deleted, by server id. If the deletion turns out to be part of a mass
+  // removal, a server that was reported as gone is held after all and is reported again with this data.
   struct LastKnown {
     ListedServer server;
-    Time reported_gone{};  // Time(): it was not
+    Time reported_gone{};  // Time() if it was not
   };
   std::unordered_map<std::string, LastKnown> last_known_;
-  std::unordered_set<std::string> reads_in_flight_;  // nodes whose data is on its way
-  std::unordered_set<std::string> failed_reads_;     // whose reading failed with the connection
+  std::unordered_set<std::string> reads_in_flight_;  // nodes whose data is being read
+  std::unordered_set<std::string> failed_reads_;     // nodes whose read failed with the connection
   bool wanted_ = false;
-  bool children_read_due_ = false;        // a reading of the list is wanted
-  bool children_read_in_flight_ = false;  // and one is on its way
-  bool loaded_ = false;                   // the first list is complete
+  bool children_read_due_ = false;        // the list of children has to be read
+  bool children_read_in_flight_ = false;  // and is being read
+  bool loaded_ = false;                   // the first complete list was published
   bool deregistered_ = false;
   bool registered_ = false;
   bool was_holding_ = false;
   bool connection_lost_ = false;
   Time last_children_read_{};
   Timer children_timer_, publish_timer_, tick_timer_, renew_timer_, register_timer_;
-  nodes::NodeClient client_;  // last: its calls end in its destructor
+  nodes::NodeClient client_;  // last member: its destructor ends calls that use the others
 };
 
 }  // namespace umberdyke::net
--- a/src/membership/peer_exchange.cpp
+++ b/src/membership/peer_exchange.cpp
@@ -5,10 +5,9 @@
 
 using namespace std::chrono_literals;
 
-constexpr Span kQueryInterval =
-    400ms;  // with jitter, well within the 6 s after which a change is to be known
+constexpr Span kQueryInterval = 400ms;  // with jitter, well within the 6 s limit for a change to be known
 constexpr size_t kPeersPerQuery = 2;
-constexpr size_t kMaxReplyDatagrams = 64;  // of one answer
+constexpr size_t kMaxReplyDatagrams = 64;
 
 }  // namespace
 
@@ -33,7 +32,7 @@
 void PeerExchange::Tick() {
   const double jitter = std::uniform_real_distribution<double>(0.5, 1.5)(random_);
   tick_.Start(std::chrono::duration_cast<Span>(kQueryInterval * jitter));
-  // A process that this one replaces may still hold the address.
+  // The process that this one replaces may still be bound to the address; try again every interval.
   if (!socket_.open() && !socket_.Listen(settings_.listen).empty()) return counters_.Add("peers_not_heard");
   if (source_.MayBeStale() && !peers_.empty()) SendQuery();
 }
--- a/src/membership/peer_exchange.h
+++ b/src/membership/peer_exchange.h
@@ -1,7 +1,8 @@
-// Asks the other sidecars of the tier what has closed, for as long as discovery keeps this one waiting, and
-// answers those that ask. Discovery's own word always goes before theirs: a peer only ever closes servers.
+// Queries the other sidecars of the tier for closed servers while this one has no live watch on discovery,
+// and replies to the queries of others. What discovery reports takes precedence: a peer report can only mark
+// servers as draining.
 //
-// It must not depend on requests in progress. Datagrams may be lost: questions are repeated.
+// Must not depend on requests in progress. Datagrams may be lost, so queries are repeated.
 #ifndef UMBERDYKE_MEMBERSHIP_PEER_EXCHANGE_H_
 #define UMBERDYKE_MEMBERSHIP_PEER_EXCHANGE_H_
 
@@ -35,7 +36,7 @@
 
   const PeerSettings settings_;
   std::vector<Address> peers_;
-  std::unordered_set<std::string> peer_addresses_;  // the same
+  std::unordered_set<std::string> peer_addresses_;  // peers_ as text, for IsKnownPeer
   MemberSource& source_;
   ServerList& server_list_;
   Counters& counters_;
