--- a/src/reconcile/reconciler.cpp
+++ b/src/reconcile/reconciler.cpp
@@ -5,7 +5,7 @@
 namespace umberdyke::reconcile {
 namespace {
 
-// How long a name that went is remembered, so that a lagging member cannot bring it back.
+// How long deleted nodes are remembered, to ignore data of them from a lagging member.
 constexpr Span kDeletionRetention = std::chrono::minutes(10);
 
 }  // namespace
@@ -20,10 +20,10 @@
   const std::set<std::string_view> listed(names.begin(), names.end());
   std::vector<std::string> missing;
   for (const auto& [name, node] : nodes_) {
-    // One created after this view was taken is not missing from it.
+    // A node that was created after this list was read cannot be in it.
     if (node.listed && !listed.contains(name) && node.created_zxid <= zxid) missing.push_back(name);
   }
-  std::sort(missing.begin(), missing.end());  // the same order on every machine
+  std::sort(missing.begin(), missing.end());  // a deterministic order
   for (const std::string& name : missing) RemoveNode(now, name);
   for (const std::string& name : names) {
     Node& node = nodes_[name];
@@ -38,7 +38,7 @@
   ExpireOldEntries(now);
   const auto deleted = deleted_nodes_.find(name);
   if (deleted != deleted_nodes_.end() && created_zxid <= deleted->second.created_zxid) {
-    ++counts_.stale_data;  // a ghost: that life of the node is over
+    ++counts_.stale_data;  // of a node that was deleted
     if (const auto it = nodes_.find(name); it != nodes_.end() && !it->second.known) nodes_.erase(it);
     return;
   }
@@ -53,7 +53,7 @@
   const std::string before = node.known ? node.id : "";
   const bool recreated = node.known && created_zxid > node.created_zxid;
   if (!before.empty() && (before != content.id || recreated)) {
-    // The same name, another life or another server: the old one leaves it first.
+    // The node was recreated or now belongs to another server: remove it from the previous one first.
     const auto server = servers_.find(before);
     if (server != servers_.end()) server->second.nodes.erase(name);
     if (before != content.id) Recompute(now, before);
@@ -66,12 +66,12 @@
 void Reconciler::OnMalformedData(Time now, const std::string& name, Zxid created_zxid, Zxid modified_zxid) {
   ++counts_.malformed;
   const auto it = nodes_.find(name);
-  if (it == nodes_.end() || !it->second.known) return;  // nothing known: it is nobody
+  if (it == nodes_.end() || !it->second.known) return;  // no server is known by it
   if (created_zxid <= it->second.created_zxid) {
     it->second.modified_zxid = std::max(it->second.modified_zxid, modified_zxid);
-    return;  // the last that could be read holds
+    return;  // the last readable data stays valid
   }
-  // Another life of the node, of which nothing can be read.
+  // The node was recreated with unreadable data.
   RemoveNode(now, name);
 }
 
@@ -92,7 +92,7 @@
   Recompute(now, node.id);
 }
 
-// Works out one server's standing anew from the nodes that bear its id.
+// Recomputes a server's state from the nodes with its id.
 void Reconciler::Recompute(Time now, const std::string& id) {
   Server& server = servers_[id];
   const Node* youngest = nullptr;
@@ -115,7 +115,7 @@
   removed_at_.erase(id);
   server.node = name;
   if (server.state == ServerState::kGone && state == ServerState::kReady && server.left_at) {
-    // It comes back. Once in a while that is a restart; again and again it is a link that breaks.
+    // The server returns. Occasional returns are restarts; frequent ones mean an unstable link.
     if (!server.settles_at) {
       server.return_times.push_back(now);
       while (!server.return_times.empty() && now - server.return_times.front() > limits_.flap_window)
@@ -142,8 +142,8 @@
   }
 }
 
-// An address belongs to one server, the youngest that says it is there: whoever held it before is gone, even
-// one that is kept against the list. Returns whether the address is this one's.
+// An address belongs to one server, the one with the youngest node. Removes the previous owner, even if it is
+// held. Returns whether the address now belongs to this server.
 bool Reconciler::ClaimAddress(const std::string& id, const Server& server, Zxid created_zxid) {
   if (server.address.empty()) return true;
   const auto at = id_by_address_.find(server.address);
@@ -169,23 +169,23 @@
 void Reconciler::RemoveOrHold(Time now, const std::string& id, Server& server) {
   if (server.state == ServerState::kGone || server.held_since) return;
   server.left_at = now;
-  // What was told to drain was leaving anyway, and is never sent to again.
+  // A draining server was leaving anyway and must not become ready again, so it is never held.
   if (server.state == ServerState::kDraining) return SetState(id, server, ServerState::kGone);
   while (!recent_removals_.empty() && now - recent_removals_.front().first > limits_.mass_removal_window) {
     const auto old = removed_at_.find(recent_removals_.front().second);
     if (old != removed_at_.end() && old->second == recent_removals_.front().first) removed_at_.erase(old);
     recent_removals_.pop_front();
   }
-  // Those kept against the list count once: among those that went.
+  // The size of the list before the removals. Held servers are counted once, among the removed ones.
   const size_t before = live_count_ - held_ids_.size() + removed_at_.size();
   recent_removals_.emplace_back(now, id);
   removed_at_[id] = now;
   const auto removed_count = static_cast<double>(removed_at_.size());
   const bool is_mass_removal = removed_count > limits_.mass_removal_share * static_cast<double>(before) &&
                                removed_at_.size() > static_cast<size_t>(limits_.mass_removal_count);
-  const bool last = live_count_ == 1 + held_ids_.size();  // the list may not be emptied, however small it is
+  const bool last = live_count_ == 1 + held_ids_.size();  // the list must never become empty
   if (!is_mass_removal && !last) return SetState(id, server, ServerState::kGone);
-  // Those that went just before were the beginning of the same removal.
+  // The removals just before belong to the same mass removal, so they are held as well.
   if (is_mass_removal && !mass_removal_active_) {
     ++counts_.mass_removals;
     mass_removal_active_ = true;
@@ -200,7 +200,7 @@
 void Reconciler::Hold(Time now, const std::string& id, Server& server) {
   if (server.held_since || !server.nodes.empty()) return;
   if (const auto at = id_by_address_.find(server.address); at != id_by_address_.end() && at->second != id)
-    return;  // replaced
+    return;  // replaced by another server
   server.held_since = now;
   held_ids_.insert(id);
   ++counts_.held;
@@ -211,7 +211,7 @@
 void Reconciler::OnConnectionResult(Time now, const std::string& id, bool ok) {
   const auto it = servers_.find(id);
   if (ok || it == servers_.end() || !it->second.held_since) return;
-  // Its own connections fail: the list was right about this one.
+  // The connection failed, which confirms the removal.
   it->second.held_since.reset();
   held_ids_.erase(id);
   it->second.left_at = now;
@@ -227,13 +227,13 @@
     Server& server = servers_[id];
     if (server.settles_at && now >= *server.settles_at) Recompute(now, id);
   }
-  // A removal that stands for so long is believed, as long as somebody else is left.
+  // A hold expires after max_hold, unless the list would become empty.
   const std::set<std::string> held = held_ids_;
   const bool others = live_count_ > held_ids_.size();
   for (const std::string& id : held) {
     Server& server = servers_[id];
     if (!others || !server.held_since) continue;
-    // One kept only so that somebody is left goes as soon as somebody is.
+    // A server that was held only to keep the list non-empty is removed as soon as another one is there.
     if (!server.held_as_last_server && now - *server.held_since < limits_.max_hold) continue;
     server.held_since.reset();
     held_ids_.erase(id);
@@ -258,7 +258,7 @@
 }
 
 std::vector<StateChange> Reconciler::TakeChanges() {
-  // Those that leave first: whoever takes their place or address comes after.
+  // Removals come first, before servers that take over an address.
   std::vector<StateChange> changes;
   for (const bool leaving : {true, false}) {
     for (const std::string& id : change_order_) {
@@ -287,11 +287,11 @@
 
 size_t Reconciler::size() const { return live_count_; }
 
-// Guards the memory against names that are new each time: sequential nodes never come back.
+// Bounds the memory used by old entries: sequential nodes never reuse a name.
 void Reconciler::ExpireOldEntries(Time now) {
   while (!deletions_.empty() && now - deletions_.front().first > kDeletionRetention) {
     const auto& [time, name] = deletions_.front();
-    // One that went again since is remembered from then on.
+    // A node that was deleted again since is kept until its later deletion expires.
     if (const auto it = deleted_nodes_.find(name); it != deleted_nodes_.end() && it->second.time == time)
       deleted_nodes_.erase(it);
     deletions_.pop_front();
--- a/src/reconcile/reconciler.h
+++ b/src/reconcile/reconciler.h
@@ -1,9 +1,10 @@
-// Who is there, worked out from what a coordination service tells: views of the list, data of nodes, notices
-// of deletions, in whatever order reconnects and lagging members bring them.
+// Derives the server list from what a coordination service reports: lists of nodes, data of nodes and
+// deletions, in whatever order reconnects and lagging members deliver them.
 //
-// Pure: no I/O, no clock; the time comes in and only advances. It decides what the decision module is told of
-// the list and when: what is older than what was seen changes nothing, a mass removal is held, a flapping
-// node waits. It may not know the service's protocol, the module, or what a node's address means.
+// It decides which changes the decision module is notified of, and when: stale reports are ignored, a mass
+// removal is held back, and a flapping server is readmitted late. Pure: no I/O and no clock; the caller
+// passes the time, which must not go back. It must not depend on the service's protocol, the decision module
+// or the meaning of addresses.
 #ifndef UMBERDYKE_RECONCILE_RECONCILER_H_
 #define UMBERDYKE_RECONCILE_RECONCILER_H_
 
@@ -21,23 +22,24 @@
 
 using Time = std::chrono::steady_clock::time_point;
 using Span = std::chrono::steady_clock::duration;
-using Zxid = std::int64_t;  // the service's transaction numbers: later is larger
+using Zxid = std::int64_t;  // the service's transaction id; increases with each write
 
+// Limits on how fast the list may shrink and how often a server may come and go.
 struct Limits {
-  // A removal is a mass removal once more than this share of the list, and more than this many, went within
-  // this time. From then on what was removed within it is kept until its own connections fail.
+  // More removals than both this share of the list and this count within the window are a mass removal.
+  // Servers removed in the window are then held (kept as ready) until the sidecar's own connections to them
+  // fail.
   double mass_removal_share = 0.3;
   int mass_removal_count = 2;
   Span mass_removal_window = std::chrono::seconds(5);
-  Span max_hold = std::chrono::seconds(60);  // then a removal is believed, unless nobody would be left
-  // A node that left and came back more than this often within this time comes back only once it has stayed.
+  Span max_hold = std::chrono::seconds(60);  // then a held server is removed, unless the list would be empty
+  // A server that returned more than this often within flap_window is readmitted only after settle_time.
   int flaps = 3;
   Span flap_window = std::chrono::seconds(30);
   Span settle_time = std::chrono::seconds(3);
 };
 
-// What a node's data said of it. `id` tells servers apart: a server that comes back under another node's name
-// with the same id is the same one.
+// The parsed data of a node. `id` identifies the server: another node with the same id is the same server.
 struct NodeData {
   std::string id;
   std::string address;
@@ -46,21 +48,21 @@
 
 enum class ServerState { kReady, kDraining, kGone };
 
-// What the module is to be told of one server, in this order.
+// One change of a server's state to notify the decision module of.
 struct StateChange {
   std::string id;
   ServerState state;
-  std::string node;  // whose data holds; the last one where it is gone
+  std::string node;  // the node whose data is valid; the last such node if kGone
   friend bool operator==(const StateChange&, const StateChange&) = default;
 };
 
 struct Counts {
-  std::uint64_t stale_views = 0;  // older than one that was seen
-  std::uint64_t stale_data = 0;   // of a node's earlier life, or older than what was seen
-  std::uint64_t malformed = 0;    // data that cannot be read; what was known before holds
+  std::uint64_t stale_views = 0;  // older than the last list
+  std::uint64_t stale_data = 0;   // of an earlier node of the same name, or older than known data
+  std::uint64_t malformed = 0;    // unreadable data; the data known before stays valid
   std::uint64_t mass_removals = 0;
-  std::uint64_t held = 0;        // servers kept against the list
-  std::uint64_t hold_ended = 0;  // of these: believed gone after all
+  std::uint64_t held = 0;        // servers kept as ready although they were removed
+  std::uint64_t hold_ended = 0;  // of these: removed after all
   std::uint64_t flaps = 0;
 };
 
@@ -68,29 +70,30 @@
  public:
   explicit Reconciler(const Limits& limits) : limits_(limits) {}
 
-  // The whole list of names, as of a transaction. Returns the names whose data is needed; empty for a stale
-  // one.
+  // The complete list of node names as of transaction `zxid`. Returns the names whose data has to be read;
+  // none for a stale list.
   std::vector<std::string> OnNodeList(Time now, Zxid zxid, const std::vector<std::string>& names);
-  // A node's data; `birth` is the transaction that created it, `zxid` the one that last changed it.
+  // A node's data. `created_zxid` is the transaction that created the node, `modified_zxid` the one that last
+  // changed its data.
   void OnNodeData(Time now, const std::string& name, const NodeData& content, Zxid created_zxid,
                   Zxid modified_zxid);
   void OnMalformedData(Time now, const std::string& name, Zxid created_zxid, Zxid modified_zxid);
-  // The service said that the node has gone.
+  // The service reported that the node was deleted.
   void OnNodeDeleted(Time now, const std::string& name);
-  // The sidecar's own connection to a server: whether it came up.
+  // Whether the sidecar's own connection to a server succeeded.
   void OnConnectionResult(Time now, const std::string& id, bool ok);
-  // What is due by now.
+  // Readmits settled servers and removes held ones whose time is up.
   void Tick(Time now);
 
-  // What has changed since the last call, each server once.
+  // Returns the changes since the last call, one per server, removals first.
   std::vector<StateChange> TakeChanges();
-  // When Tick has something to do next.
+  // When Tick() has to be called next; nothing if no time limit is running.
   std::optional<Time> NextDeadline() const;
 
   bool has_changes() const { return !change_order_.empty(); }
   bool holding() const { return !held_ids_.empty(); }
   bool HasNode(const std::string& name) const { return nodes_.contains(name); }
-  size_t size() const;  // servers that are told as ready or draining
+  size_t size() const;  // servers that are ready or draining
   Zxid last_list_zxid() const { return last_list_zxid_; }
   const Counts& counts() const { return counts_; }
 
@@ -99,18 +102,18 @@
     std::string id;
     NodeData content;
     Zxid created_zxid = 0, modified_zxid = 0;
-    bool listed = false;  // in the view, or created after it
+    bool listed = false;  // in the last list, or created after it
     bool known = false;   // its data has been read
   };
   struct Server {
-    std::set<std::string> nodes;  // that are listed and bear its id
-    std::string node;             // the one that holds: the youngest
+    std::set<std::string> nodes;  // listed nodes with its id
+    std::string node;             // the youngest of them, whose data is valid
     std::string address;
     ServerState state = ServerState::kGone;
-    bool counted = false;  // told at least once
+    bool counted = false;  // unused
     std::optional<Time> held_since;
-    bool held_as_last_server = false;  // for no other reason than that nobody else was left
-    std::optional<Time> settles_at;    // comes back then
+    bool held_as_last_server = false;  // held only because the list would be empty
+    std::optional<Time> settles_at;    // when a flapping server is readmitted
     std::deque<Time> return_times;
     std::optional<Time> left_at;
   };
@@ -128,20 +131,20 @@
   Zxid last_list_zxid_ = 0;
   std::unordered_map<std::string, Node> nodes_;
   std::unordered_map<std::string, Server> servers_;
-  std::unordered_map<std::string, std::string> id_by_address_;  // address to the id that is told there
+  std::unordered_map<std::string, std::string> id_by_address_;  // servers by address
   struct Deletion {
     Zxid created_zxid = 0;
     Time time{};
   };
-  std::unordered_map<std::string, Deletion> deleted_nodes_;  // names that went, lest they come back as ghosts
+  std::unordered_map<std::string, Deletion> deleted_nodes_;  // lets stale data of deleted nodes be ignored
   std::deque<std::pair<Time, std::string>> deletions_;
-  std::deque<std::pair<Time, std::string>> recent_removals_;  // in their order, within the guard's time
-  std::unordered_map<std::string, Time> removed_at_;          // of these, whoever has not come back since
-  size_t live_count_ = 0;                                     // told as ready or draining
+  std::deque<std::pair<Time, std::string>> recent_removals_;  // within mass_removal_window, oldest first
+  std::unordered_map<std::string, Time> removed_at_;          // of these, servers that have not returned
+  size_t live_count_ = 0;                                     // servers that are ready or draining
   std::set<std::string> held_ids_;
   std::set<std::string> settling_ids_;
   bool mass_removal_active_ = false;
-  std::vector<std::string> change_order_;  // ids to tell, in the order of their first change
+  std::vector<std::string> change_order_;  // ids of pending_changes_, in order of their first change
   std::unordered_map<std::string, StateChange> pending_changes_;
   Counts counts_;
 };
