--- a/src/membership/discovery_source.cpp
+++ b/src/membership/discovery_source.cpp
@@ -59,8 +59,8 @@
   bytes_ += static_cast<std::int64_t>(bytes.size());
   const ParseResult parsed = parser_.Feed(bytes, &used);
   if (!stream_.open()) return;
-  const bool good = !parser_.head_complete() || parser_.message().status == 200;
-  if (!good) return Fail(WasQueued() ? CallFailure::kOverloaded : CallFailure::kRefused);
+  const bool status_ok = !parser_.head_complete() || parser_.message().status == 200;
+  if (!status_ok) return Fail(WasQueued() ? CallFailure::kOverloaded : CallFailure::kRefused);
   if (cutter_.held() > kMaxItemBytes) return Fail(CallFailure::kMalformed);
   if (parsed == ParseResult::kComplete) return OnEnd();
   if (parsed != ParseResult::kIncomplete) Fail(CallFailure::kMalformed);
@@ -166,16 +166,16 @@
   counters_.Add("discovery_calls");
   retry_timer_.Stop();
   // The callbacks compare this pointer with watch_, slow_ and previous_ to find the role of their call.
-  const auto place = std::make_shared<ListWatch*>(nullptr);
+  const auto this_call = std::make_shared<ListWatch*>(nullptr);
   watch_ = std::make_unique<ListWatch>(
       loop_, address_, version_, push_mode_ ? kPushConnectTimeout : kMaxHeartbeatGap,
-      ListWatch::Callbacks{[this, place](std::string_view text) { OnItem(*place, text); },
-                           [this, place] { return KeepSlowCall(*place); },
-                           [this, place](CallFailure failure) {
-                             if (*place == watch_.get()) return OnCallFailed(failure);
-                             EndCall(*place == slow_.get() ? slow_ : previous_, Describe(failure));
+      ListWatch::Callbacks{[this, this_call](std::string_view text) { OnItem(*this_call, text); },
+                           [this, this_call] { return KeepSlowCall(*this_call); },
+                           [this, this_call](CallFailure failure) {
+                             if (*this_call == watch_.get()) return OnCallFailed(failure);
+                             EndCall(*this_call == slow_.get() ? slow_ : previous_, Describe(failure));
                            }});
-  *place = watch_.get();
+  *this_call = watch_.get();
 }
 
 // Returns whether the current call is the first that discovery queued after an outage. If so, this source
--- a/src/membership/nodes_source.cpp
+++ b/src/membership/nodes_source.cpp
@@ -188,7 +188,7 @@
     children_read_due_ = true;  // read again after the reconnect
     return;
   }
-  const std::uint64_t stale = reconciler_.counts().stale_views;
+  const std::uint64_t stale_before = reconciler_.counts().stale_views;
   // A node missing from the view is handled like a deletion event. Its data is kept while it may be needed.
   const std::vector<std::string> wanted = reconciler_.OnNodeList(Clock::now(), stat.listed, names);
   for (auto it = servers_by_node_.begin(); it != servers_by_node_.end();) {
@@ -200,7 +200,7 @@
     last_known = {std::move(it->second), {}};
     it = servers_by_node_.erase(it);
   }
-  if (reconciler_.counts().stale_views > stale) {
+  if (reconciler_.counts().stale_views > stale_before) {
     counters_.Add("membership_stale_views");
     children_read_due_ = true;
     return children_timer_.Start(kStaleViewRetry);
@@ -270,8 +270,8 @@
                                                                    : UpstreamState::kGone;
     change.servers.push_back(std::move(server));
   }
-  std::erase_if(last_known_, [now = Clock::now()](const auto& one) {
-    return one.second.reported_gone != Time() && now - one.second.reported_gone > kLastKnownRetention;
+  std::erase_if(last_known_, [now = Clock::now()](const auto& entry) {
+    return entry.second.reported_gone != Time() && now - entry.second.reported_gone > kLastKnownRetention;
   });
   if (reconciler_.holding() != was_holding_) {
     was_holding_ = !was_holding_;
--- a/src/reconcile/reconciler.cpp
+++ b/src/reconcile/reconciler.cpp
@@ -50,13 +50,13 @@
     return;
   }
   Node& node = nodes_[name];
-  const std::string before = node.known ? node.id : "";
+  const std::string previous_id = node.known ? node.id : "";
   const bool recreated = node.known && created_zxid > node.created_zxid;
-  if (!before.empty() && (before != content.id || recreated)) {
+  if (!previous_id.empty() && (previous_id != content.id || recreated)) {
     // The node was recreated or now belongs to another server: remove it from the previous one first.
-    const auto server = servers_.find(before);
+    const auto server = servers_.find(previous_id);
     if (server != servers_.end()) server->second.nodes.erase(name);
-    if (before != content.id) Recompute(now, before);
+    if (previous_id != content.id) Recompute(now, previous_id);
   }
   node = {content.id, content, created_zxid, modified_zxid, true, true};
   servers_[content.id].nodes.insert(name);
@@ -148,12 +148,12 @@
   if (server.address.empty()) return true;
   const auto at = id_by_address_.find(server.address);
   if (at != id_by_address_.end() && at->second != id) {
-    const std::string holder = at->second;
-    Server& old = servers_[holder];
+    const std::string previous_owner = at->second;
+    Server& old = servers_[previous_owner];
     if (CreationZxidOf(old) > created_zxid) return false;
-    held_ids_.erase(holder);
+    held_ids_.erase(previous_owner);
     old.held_since.reset();
-    if (old.state != ServerState::kGone) SetState(holder, old, ServerState::kGone);
+    if (old.state != ServerState::kGone) SetState(previous_owner, old, ServerState::kGone);
   }
   id_by_address_[server.address] = id;
   return true;
@@ -177,12 +177,13 @@
     recent_removals_.pop_front();
   }
   // The size of the list before the removals. Held servers are counted once, among the removed ones.
-  const size_t before = live_count_ - held_ids_.size() + removed_at_.size();
+  const size_t size_before = live_count_ - held_ids_.size() + removed_at_.size();
   recent_removals_.emplace_back(now, id);
   removed_at_[id] = now;
   const auto removed_count = static_cast<double>(removed_at_.size());
-  const bool is_mass_removal = removed_count > limits_.mass_removal_share * static_cast<double>(before) &&
-                               removed_at_.size() > static_cast<size_t>(limits_.mass_removal_count);
+  const bool is_mass_removal =
+      removed_count > limits_.mass_removal_share * static_cast<double>(size_before) &&
+      removed_at_.size() > static_cast<size_t>(limits_.mass_removal_count);
   const bool last = live_count_ == 1 + held_ids_.size();  // the list must never become empty
   if (!is_mass_removal && !last) return SetState(id, server, ServerState::kGone);
   // The removals just before belong to the same mass removal, so they are held as well.
@@ -229,10 +230,10 @@
   }
   // A hold expires after max_hold, unless the list would become empty.
   const std::set<std::string> held = held_ids_;
-  const bool others = live_count_ > held_ids_.size();
+  const bool has_others = live_count_ > held_ids_.size();
   for (const std::string& id : held) {
     Server& server = servers_[id];
-    if (!others || !server.held_since) continue;
+    if (!has_others || !server.held_since) continue;
     // A server that was held only to keep the list non-empty is removed as soon as another one is there.
     if (!server.held_as_last_server && now - *server.held_since < limits_.max_hold) continue;
     server.held_since.reset();
@@ -244,14 +245,14 @@
 }
 
 void Reconciler::SetState(const std::string& id, Server& server, ServerState state) {
-  const bool was = server.state != ServerState::kGone, is = state != ServerState::kGone;
-  if (was && !is) --live_count_;
-  if (!was && is) ++live_count_;
-  if (!is) {
+  const bool was_live = server.state != ServerState::kGone, is_live = state != ServerState::kGone;
+  if (was_live && !is_live) --live_count_;
+  if (!was_live && is_live) ++live_count_;
+  if (!is_live) {
     if (const auto at = id_by_address_.find(server.address); at != id_by_address_.end() && at->second == id)
       id_by_address_.erase(at);
   }
-  if (!is && !was && !pending_changes_.contains(id)) return;
+  if (!is_live && !was_live && !pending_changes_.contains(id)) return;
   server.state = state;
   const auto [it, is_new] = pending_changes_.insert_or_assign(id, StateChange{id, state, server.node});
   if (is_new) change_order_.push_back(id);
@@ -260,10 +261,10 @@
 std::vector<StateChange> Reconciler::TakeChanges() {
   // Removals come first, before servers that take over an address.
   std::vector<StateChange> changes;
-  for (const bool leaving : {true, false}) {
+  for (const bool removals : {true, false}) {
     for (const std::string& id : change_order_) {
-      const StateChange& one = pending_changes_.at(id);
-      if ((one.state == ServerState::kGone) == leaving) changes.push_back(one);
+      const StateChange& change = pending_changes_.at(id);
+      if ((change.state == ServerState::kGone) == removals) changes.push_back(change);
     }
   }
   change_order_.clear();
@@ -273,14 +274,14 @@
 
 std::optional<Time> Reconciler::NextDeadline() const {
   std::optional<Time> due;
-  const auto sooner = [&](Time time) {
+  const auto consider = [&](Time time) {
     if (!due || time < *due) due = time;
   };
   for (const std::string& id : settling_ids_) {
-    if (const auto& settles_at = servers_.at(id).settles_at) sooner(*settles_at);
+    if (const auto& settles_at = servers_.at(id).settles_at) consider(*settles_at);
   }
   if (live_count_ > held_ids_.size()) {
-    for (const std::string& id : held_ids_) sooner(*servers_.at(id).held_since + limits_.max_hold);
+    for (const std::string& id : held_ids_) consider(*servers_.at(id).held_since + limits_.max_hold);
   }
   return due;
 }
--- a/src/reconcile/reconciler.h
+++ b/src/reconcile/reconciler.h
@@ -110,7 +110,7 @@
     std::string node;             // the youngest of them, whose data is valid
     std::string address;
     ServerState state = ServerState::kGone;
-    bool counted = false;  // unused
+    bool reported = false;  // unused
     std::optional<Time> held_since;
     bool held_as_last_server = false;  // held only because the list would be empty
     std::optional<Time> settles_at;    // when a flapping server is readmitted
