--- a/tests/membership/reconcile_test.cpp
+++ b/tests/membership/reconcile_test.cpp
@@ -1,5 +1,5 @@
-// The reconciler against histories of a service, changes in every order that reconnects and lagging members
-// allow.
+// Tests of the reconciler with histories of a coordination service, reported in every order that reconnects
+// and lagging members can produce.
 #include <algorithm>
 #include <catch2/catch.hpp>
 #include <map>
@@ -19,7 +19,7 @@
   return {id, address, draining};
 }
 
-// What the consumer knows after all that it was changes.
+// The server states after all changes taken from the reconciler.
 struct Consumer {
   std::map<std::string, ServerState> states;
   void TakeFrom(Reconciler& reconciler) {
@@ -34,7 +34,7 @@
   }
 };
 
-// A guard that never holds and no flaps, for tests of the order of events.
+// Never holds a removal and never delays a returning server, for tests of the order of events.
 Limits WithoutLimits() {
   Limits limits;
   limits.mass_removal_share = 1;
@@ -49,7 +49,7 @@
   return names;
 }
 
-// A list of so many servers, all changes.
+// Registers `count` servers and takes the changes.
 void Fill(Reconciler& r, Consumer& consumer, int count, Time now = kStart) {
   for (const std::string& name : r.OnNodeList(now, count, Names(0, count))) {
     const int i = std::stoi(name.substr(1));
@@ -59,14 +59,14 @@
   REQUIRE(consumer.Ready().size() == static_cast<size_t>(count));
 }
 
-TEST_CASE("views and data older than what was seen change nothing", "[reconcile]") {
+TEST_CASE("stale lists and stale data change nothing", "[reconcile]") {
   Reconciler r(WithoutLimits());
   Consumer consumer;
   Fill(r, consumer, 5);
   r.OnNodeDeleted(kStart, "n2");
   consumer.TakeFrom(r);
   CHECK(consumer.states["s2"] == ServerState::kGone);
-  // A lagging member still lists it, and has its old data.
+  // A lagging member still lists n2 and returns its old data.
   CHECK(r.OnNodeList(kStart, 4, Names(0, 5)).empty());
   CHECK(r.counts().stale_views == 1);
   r.OnNodeData(kStart, "n2", At("s2", "a2"), 3, 3);
@@ -75,23 +75,23 @@
     r.OnNodeData(kStart, name, At("s2", "a2"), 3, 3);
   consumer.TakeFrom(r);
   CHECK(consumer.states["s2"] == ServerState::kGone);
-  // Older data of a node that is there: a drain is not taken back by it.
+  // Older data of an existing node does not undo a drain.
   r.OnNodeData(kStart, "n1", At("s1", "a1", true), 2, 9);
   r.OnNodeData(kStart, "n1", At("s1", "a1", false), 2, 2);
   consumer.TakeFrom(r);
   CHECK(consumer.states["s1"] == ServerState::kDraining);
-  // A new life under the old name counts at once.
+  // A node recreated under the same name is accepted at once.
   for (const std::string& name : r.OnNodeList(kStart, 12, Names(0, 5)))
     r.OnNodeData(kStart, name, At("s2", "a2"), 12, 12);
   consumer.TakeFrom(r);
   CHECK(consumer.states["s2"] == ServerState::kReady);
 }
 
-TEST_CASE("a server under two nodes leaves with the younger only when both are gone", "[reconcile]") {
+TEST_CASE("a server with two nodes is gone only when both nodes are deleted", "[reconcile]") {
   Reconciler r(WithoutLimits());
   Consumer consumer;
   Fill(r, consumer, 3);
-  // Its session has broken, and it has registered anew before the old node vanished.
+  // The server lost its session and registered again before the old node vanished.
   for (const std::string& n : r.OnNodeList(kStart, 10, {"n0", "n1", "n2", "n9"}))
     r.OnNodeData(kStart, n, At("s1", "a1"), 10, 10);
   r.OnNodeDeleted(kStart, "n1");
@@ -102,7 +102,7 @@
   CHECK(consumer.states["s1"] == ServerState::kGone);
 }
 
-TEST_CASE("a new id at an old address puts the old one out first", "[reconcile]") {
+TEST_CASE("a new server at a known address removes the previous one first", "[reconcile]") {
   Reconciler r(WithoutLimits());
   Consumer consumer;
   Fill(r, consumer, 3);
@@ -112,32 +112,32 @@
   REQUIRE(changes.size() == 2);
   CHECK(changes[0] == StateChange{"s1", ServerState::kGone, "n1"});
   CHECK(changes[1] == StateChange{"new", ServerState::kReady, "x"});
-  // The old one's node still stands and says the same again: the youngest holds the address.
+  // The previous server's node still exists and is reported again: the youngest node owns the address.
   r.OnNodeData(kStart, "n1", At("s1", "a1"), 2, 20);
   CHECK(r.TakeChanges().empty());
 }
 
-TEST_CASE("a mass removal is held while connections come up, and drained ones never", "[reconcile]") {
+TEST_CASE("a mass removal is held while connections succeed, except for draining servers", "[reconcile]") {
   Limits limits;
   Reconciler r(limits);
   Consumer consumer;
   Fill(r, consumer, 10);
   r.OnNodeData(kStart, "n9", At("s9", "a9", true), 10, 20);
   consumer.TakeFrom(r);
-  // Three of ten may go; with the fourth it is a mass removal, and the first three are back.
+  // Three of ten may be removed; the fourth makes it a mass removal, which holds the first three as well.
   r.OnNodeList(kStart + 1s, 30, {"n0", "n1", "n2", "n3"});
   consumer.TakeFrom(r);
   CHECK(r.holding());
   CHECK(consumer.Ready().size() == 9);
   CHECK(consumer.states["s9"] == ServerState::kGone);
   CHECK(r.counts().mass_removals == 1);
-  // One whose connections fail is gone for good.
+  // A held server is removed once a connection to it fails.
   r.OnConnectionResult(kStart + 2s, "s5", true);
   r.OnConnectionResult(kStart + 2s, "s6", false);
   consumer.TakeFrom(r);
   CHECK(consumer.states["s5"] == ServerState::kReady);
   CHECK(consumer.states["s6"] == ServerState::kGone);
-  // One that comes back is like any other; the rest is believed gone after the longest hold.
+  // A held server that returns is an ordinary one again; the others are removed after the maximum hold time.
   for (const std::string& n : r.OnNodeList(kStart + 3s, 40, {"n0", "n1", "n2", "n3", "n4"})) {
     r.OnNodeData(kStart + 3s, n, At("s4", "a4"), 40, 40);
   }
@@ -149,14 +149,14 @@
   CHECK_FALSE(r.holding());
 }
 
-TEST_CASE("the list is never emptied, however long everybody is missing", "[reconcile]") {
+TEST_CASE("the list never becomes empty, however long all servers are missing", "[reconcile]") {
   for (const int count : {1, 2, 7, 500}) {
     INFO(count);
     Reconciler r(Limits{});
     Consumer consumer;
     Fill(r, consumer, count);
     for (int i = 0; i < count; ++i)
-      r.OnNodeDeleted(kStart + 10s * i, "n" + std::to_string(i));  // one by one, unhurried
+      r.OnNodeDeleted(kStart + 10s * i, "n" + std::to_string(i));  // one by one, too slow for a mass removal
     r.OnNodeList(kStart + 10s * count, 10'000, {});
     r.Tick(kStart + 10s * count + 24h);
     consumer.TakeFrom(r);
@@ -164,11 +164,11 @@
     for (const std::string& id : consumer.Ready())
       r.OnConnectionResult(kStart + 10s * count + 25h, id, false);
     consumer.TakeFrom(r);
-    CHECK(consumer.Ready().empty());  // only its own connections say so
+    CHECK(consumer.Ready().empty());  // only failed connections empty the list
   }
 }
 
-TEST_CASE("a node that flaps comes back only once it has stayed", "[reconcile]") {
+TEST_CASE("a flapping server is readmitted only after the settle time", "[reconcile]") {
   Limits limits;
   Reconciler r(limits);
   Consumer consumer;
@@ -199,7 +199,7 @@
   CHECK(consumer.states["s3"] == ServerState::kReady);
 }
 
-TEST_CASE("2,000 nodes that vanish at once and return are never missed", "[reconcile]") {
+TEST_CASE("2,000 servers whose nodes vanish at once and return stay ready", "[reconcile]") {
   Reconciler r(Limits{});
   Consumer consumer;
   Fill(r, consumer, 2000);
@@ -218,7 +218,7 @@
   CHECK_FALSE(r.holding());
 }
 
-// A service's history, and a client that follows it through whatever breaks.
+// A random history of the service's nodes.
 struct History {
   struct Node {
     std::string id, address;
@@ -249,7 +249,7 @@
   }
 };
 
-TEST_CASE("whatever the interleaving, the final view is the service's and no drained or gone node is ready",
+TEST_CASE("in any interleaving the final states match the service, and no draining or gone server is ready",
           "[reconcile]") {
   for (unsigned seed = 0; seed < 2000; ++seed) {
     INFO("seed " << seed);
@@ -260,8 +260,7 @@
     Reconciler r(WithoutLimits());
     Consumer consumer;
     Time now = kStart;
-    // Reads of views and of data at random transactions: forwards on the whole, now and then from a lagging
-    // member.
+    // Reads lists and data as of random transactions, mostly advancing and sometimes from a lagging member.
     const auto data = [&](const std::string& name, Zxid z) {
       const auto it = history.states[static_cast<size_t>(z)].find(name);
       if (it == history.states[static_cast<size_t>(z)].end()) {
@@ -296,7 +295,7 @@
           data("n" + std::to_string(below(8)), at);
           break;
         default: {
-          // A notice of a deletion, in its order.
+          // A deletion event, in order.
           const std::string name = "n" + std::to_string(below(8));
           if (!history.states[static_cast<size_t>(at)].contains(name) && at >= r.last_list_zxid())
             r.OnNodeDeleted(now, name);
@@ -310,7 +309,7 @@
     consumer.TakeFrom(r);
     std::set<std::string> ready, draining;
     for (const auto& [name, node] : history.states.back()) (node.draining ? draining : ready).insert(node.id);
-    // A list that the service empties keeps its last server until its connections fail.
+    // If the service has no nodes left, the last server stays until connections to it fail.
     if (ready.empty() && draining.empty()) {
       REQUIRE(consumer.Ready().size() <= 1);
       continue;
