--- a/src/reconcile/reconciler.cpp
+++ b/src/reconcile/reconciler.cpp
@@ -121,7 +121,7 @@
       while (!server.return_times.empty() && now - server.return_times.front() > limits_.flap_window)
         server.return_times.pop_front();
     }
-    if (static_cast<int>(server.return_times.size()) > limits_.flaps) {
+    if (static_cast<int>(server.return_times.size()) > limits_.max_flaps) {
       if (!server.settles_at) ++counts_.flaps;
       if (!server.settles_at) server.settles_at = now + limits_.settle_time;
       settling_ids_.insert(id);
--- a/src/reconcile/reconciler.h
+++ b/src/reconcile/reconciler.h
@@ -34,7 +34,7 @@
   Span mass_removal_window = std::chrono::seconds(5);
   Span max_hold = std::chrono::seconds(60);  // then a held server is removed, unless the list would be empty
   // A server that returned more than this often within flap_window is readmitted only after settle_time.
-  int flaps = 3;
+  int max_flaps = 3;
   Span flap_window = std::chrono::seconds(30);
   Span settle_time = std::chrono::seconds(3);
 };
@@ -56,6 +56,7 @@
   friend bool operator==(const StateChange&, const StateChange&) = default;
 };
 
+// Event counts since the start.
 struct Counts {
   std::uint64_t stale_views = 0;  // older than the last list
   std::uint64_t stale_data = 0;   // of an earlier node of the same name, or older than known data
--- a/tests/membership/reconcile_test.cpp
+++ b/tests/membership/reconcile_test.cpp
@@ -39,7 +39,7 @@
   Limits limits;
   limits.mass_removal_share = 1;
   limits.mass_removal_count = 1 << 20;
-  limits.flaps = 1 << 20;
+  limits.max_flaps = 1 << 20;
   return limits;
 }
 
@@ -175,7 +175,7 @@
   Fill(r, consumer, 10);
   Zxid zxid = 100;
   Time now = kStart;
-  for (int i = 0; i < limits.flaps; ++i) {
+  for (int i = 0; i < limits.max_flaps; ++i) {
     r.OnNodeDeleted(now, "n3");
     consumer.TakeFrom(r);
     CHECK(consumer.states["s3"] == ServerState::kGone);
