--- a/src/handover/handover.cpp
+++ b/src/handover/handover.cpp
@@ -1,3 +1,4 @@
+// The Unix socket exchange between the old and the new process of a sidecar.
 #include "handover/handover.h"
 
 #include <sys/socket.h>
@@ -14,14 +15,14 @@
 
 using namespace std::chrono_literals;
 
-// What the two say. A process of another version, or another program, says something else.
-constexpr std::string_view kAsk = "umberdyke listener 1\n";
-constexpr std::string_view kGiven = "given\n";
-constexpr char kServing = 'S';
-constexpr std::chrono::microseconds kPatience = 500ms;  // for a predecessor that answers nothing
-constexpr int kMostWaiting = 8;
+// The messages of the protocol. A process of another version, or another program, sends something else.
+constexpr std::string_view kListenerRequest = "umberdyke listener 1\n";
+constexpr std::string_view kListenerReply = "given\n";
+constexpr char kServingMessage = 'S';
+constexpr std::chrono::microseconds kReplyTimeout = 500ms;  // for a predecessor that does not answer
+constexpr int kMaxSuccessors = 8;
 
-std::string PathFor(const std::string& folder, const Address& listen) {
+std::string SocketPath(const std::string& folder, const Address& listen) {
   if (folder.empty()) return "";
   std::string name = PrintAddress(listen);
   std::replace_if(
@@ -37,16 +38,16 @@
   return address;
 }
 
-const sockaddr* Plain(const sockaddr_un& address) { return reinterpret_cast<const sockaddr*>(&address); }
+const sockaddr* AsSockaddr(const sockaddr_un& address) { return reinterpret_cast<const sockaddr*>(&address); }
 
-// Nobody but the sidecar's own user gets, or gives, a socket.
-bool OwnUser(int fd) {
+// Sockets are exchanged only between processes of the same user.
+bool IsSameUser(int fd) {
   ucred peer{};
   socklen_t size = sizeof peer;
   return getsockopt(fd, SOL_SOCKET, SO_PEERCRED, &peer, &size) == 0 && peer.uid == geteuid();
 }
 
-bool ListensAt(int fd, const Address& address) {
+bool IsListeningAt(int fd, const Address& address) {
   int listening = 0;
   socklen_t size = sizeof listening;
   Address bound{};
@@ -56,9 +57,9 @@
          PrintAddress(bound) == PrintAddress(address);
 }
 
-bool PassSocket(int to, int passed) {
+bool SendSocket(int to, int passed) {
   char control[CMSG_SPACE(sizeof passed)] = {};
-  std::string text(kGiven);
+  std::string text(kListenerReply);
   iovec part{text.data(), text.size()};
   msghdr message{};
   message.msg_iov = &part;
@@ -73,11 +74,11 @@
   return sendmsg(to, &message, MSG_NOSIGNAL | MSG_DONTWAIT) == static_cast<ssize_t>(text.size());
 }
 
-// -1 where none came.
-int TakeSocket(int from) {
+// Returns -1 if no socket was received.
+int ReceiveSocket(int from) {
   int passed = -1;
   char control[CMSG_SPACE(sizeof passed)] = {};
-  char text[kGiven.size()];
+  char text[kListenerReply.size()];
   iovec part{text, sizeof text};
   msghdr message{};
   message.msg_iov = &part;
@@ -90,7 +91,7 @@
     if (head->cmsg_level != SOL_SOCKET || head->cmsg_type != SCM_RIGHTS) continue;
     std::memcpy(&passed, CMSG_DATA(head), sizeof passed);
   }
-  if (std::string_view(text, static_cast<size_t>(got)) == kGiven) return passed;
+  if (std::string_view(text, static_cast<size_t>(got)) == kListenerReply) return passed;
   if (passed >= 0) close(passed);
   return -1;
 }
@@ -106,110 +107,111 @@
 Handover::Handover(Loop& loop, const std::string& folder, const Address& listen, Counters& counters,
                    Owner owner)
     : loop_(loop),
-      path_(PathFor(folder, listen)),
+      path_(SocketPath(folder, listen)),
       listen_(listen),
       counters_(counters),
       owner_(std::move(owner)) {}
 
-// The name is left to a successor, which has put its own socket there.
+// A serving successor has put its own socket at this path, which must stay.
 Handover::~Handover() {
-  if (offered_ && !successor()) unlink(path_.c_str());
+  if (offered_ && !has_serving_successor()) unlink(path_.c_str());
 }
 
-bool Handover::successor() const {
+bool Handover::has_serving_successor() const {
   return std::any_of(successors_.begin(), successors_.end(), [](const auto& s) { return s->serves; });
 }
 
-std::optional<int> Handover::Ask() {
+std::optional<int> Handover::RequestListener() {
   const auto address = UnixAddress(path_);
   if (!address) return std::nullopt;
   const int link = socket(AF_UNIX, SOCK_STREAM | SOCK_CLOEXEC, 0);
   if (link < 0) return std::nullopt;
-  timeval patience{};
-  patience.tv_usec = kPatience.count();
-  setsockopt(link, SOL_SOCKET, SO_RCVTIMEO, &patience, sizeof patience);
-  setsockopt(link, SOL_SOCKET, SO_SNDTIMEO, &patience, sizeof patience);
-  const bool asked = connect(link, Plain(*address), sizeof *address) == 0 && OwnUser(link) &&
-                     send(link, kAsk.data(), kAsk.size(), MSG_NOSIGNAL) == static_cast<ssize_t>(kAsk.size());
-  const int listener = asked ? TakeSocket(link) : -1;
-  if (listener < 0 || !ListensAt(listener, listen_)) {
-    if (asked) counters_.Add("handover_not_given");
+  timeval timeout{};
+  timeout.tv_usec = kReplyTimeout.count();
+  setsockopt(link, SOL_SOCKET, SO_RCVTIMEO, &timeout, sizeof timeout);
+  setsockopt(link, SOL_SOCKET, SO_SNDTIMEO, &timeout, sizeof timeout);
+  const bool sent = connect(link, AsSockaddr(*address), sizeof *address) == 0 && IsSameUser(link) &&
+                    send(link, kListenerRequest.data(), kListenerRequest.size(), MSG_NOSIGNAL) ==
+                        static_cast<ssize_t>(kListenerRequest.size());
+  const int listener = sent ? ReceiveSocket(link) : -1;
+  if (listener < 0 || !IsListeningAt(listener, listen_)) {
+    if (sent) counters_.Add("handover_not_given");
     if (listener >= 0) close(listener);
     close(link);
     return std::nullopt;
   }
   counters_.Add("handover_taken");
-  predecessor_ = std::make_unique<FdWatcher>(loop_, link, [this] { PredecessorGone(); });
+  predecessor_ = std::make_unique<FdWatcher>(loop_, link, [this] { OnPredecessorExit(); });
   return listener;
 }
 
-// A predecessor says nothing more: what can be read is its end.
-void Handover::PredecessorGone() {
+// A predecessor sends nothing after its reply, so a readable connection means that it has exited.
+void Handover::OnPredecessorExit() {
   loop_.DestroyLater(std::move(predecessor_));
-  owner_.changed();
+  owner_.on_change();
 }
 
-std::string Handover::Offer() {
+std::string Handover::OfferListener() {
   if (predecessor_ != nullptr) {
-    const char serving = kServing;
+    const char serving = kServingMessage;
     if (send(predecessor_->fd(), &serving, 1, MSG_NOSIGNAL | MSG_DONTWAIT) != 1)
       counters_.Add("handover_untold");
   }
-  if (path_.empty()) return "no folder for it (TMPDIR is not set)";
-  // Under a name of its own first: whoever asks finds the old socket or the new one, never none.
-  const std::string own = path_ + "." + std::to_string(getpid());
-  const auto address = UnixAddress(own);
-  if (!address) return "its path is too long: " + own;
+  if (path_.empty()) return "no folder for the handover socket (TMPDIR is not set)";
+  // Bind under a temporary name and rename: a successor always finds the old socket or the new one.
+  const std::string temporary = path_ + "." + std::to_string(getpid());
+  const auto address = UnixAddress(temporary);
+  if (!address) return "handover socket path is too long: " + temporary;
   const int fd = socket(AF_UNIX, SOCK_STREAM | SOCK_CLOEXEC | SOCK_NONBLOCK, 0);
   if (fd < 0) return std::strerror(errno);
-  unlink(own.c_str());
-  if (bind(fd, Plain(*address), sizeof *address) != 0 || listen(fd, kMostWaiting) != 0 ||
-      chmod(own.c_str(), 0600) != 0 || rename(own.c_str(), path_.c_str()) != 0) {
+  unlink(temporary.c_str());
+  if (bind(fd, AsSockaddr(*address), sizeof *address) != 0 || listen(fd, kMaxSuccessors) != 0 ||
+      chmod(temporary.c_str(), 0600) != 0 || rename(temporary.c_str(), path_.c_str()) != 0) {
     const std::string why = std::strerror(errno);
-    unlink(own.c_str());
+    unlink(temporary.c_str());
     close(fd);
     return why;
   }
   offered_ = true;
-  offer_ = std::make_unique<FdWatcher>(loop_, fd, [this] { Come(); });
+  offer_ = std::make_unique<FdWatcher>(loop_, fd, [this] { OnConnection(); });
   return "";
 }
 
-void Handover::Come() {
+void Handover::OnConnection() {
   const int fd = accept4(offer_->fd(), nullptr, nullptr, SOCK_CLOEXEC | SOCK_NONBLOCK);
   if (fd < 0) return;
-  if (!OwnUser(fd) || successors_.size() >= kMostWaiting) {
+  if (!IsSameUser(fd) || successors_.size() >= kMaxSuccessors) {
     close(fd);
     return;
   }
   auto successor = std::make_unique<Successor>();
-  Successor& who = *successor;
-  who.link = std::make_unique<FdWatcher>(loop_, fd, [this, &who] { Hear(who); });
+  Successor& added = *successor;
+  added.link = std::make_unique<FdWatcher>(loop_, fd, [this, &added] { OnSuccessorMessage(added); });
   successors_.push_back(std::move(successor));
-  owner_.changed();
+  owner_.on_change();
 }
 
-void Handover::Hear(Successor& successor) {
+void Handover::OnSuccessorMessage(Successor& successor) {
   char text[64];
   const ssize_t got = recv(successor.link->fd(), text, sizeof text, MSG_DONTWAIT);
   if (got < 0 && (errno == EAGAIN || errno == EINTR)) return;
-  const std::string_view said(text, got > 0 ? static_cast<size_t>(got) : 0);
-  bool good = false;
-  if (!successor.has_socket && said == kAsk) {
-    const int listener = owner_.listener();
-    good = successor.has_socket = listener >= 0 && PassSocket(successor.link->fd(), listener);
-    counters_.Add(good ? "handover_given" : "handover_refused");
-  } else if (successor.has_socket && !successor.serves && said == std::string_view(&kServing, 1)) {
-    good = successor.serves = true;
+  const std::string_view received(text, got > 0 ? static_cast<size_t>(got) : 0);
+  bool valid = false;
+  if (!successor.has_socket && received == kListenerRequest) {
+    const int listener = owner_.listener_fd();
+    valid = successor.has_socket = listener >= 0 && SendSocket(successor.link->fd(), listener);
+    counters_.Add(valid ? "handover_given" : "handover_refused");
+  } else if (successor.has_socket && !successor.serves && received == std::string_view(&kServingMessage, 1)) {
+    valid = successor.serves = true;
   }
-  if (!good) {  // it has gone, or is nobody that should be here
+  if (!valid) {  // it has exited or violates the protocol
     const auto it = std::find_if(successors_.begin(), successors_.end(),
                                  [&](const auto& s) { return s.get() == &successor; });
     std::unique_ptr<Successor> gone = std::move(*it);
     successors_.erase(it);
     loop_.DestroyLater(std::move(gone));
   }
-  owner_.changed();
+  owner_.on_change();
 }
 
 }  // namespace umberdyke::net
--- a/src/handover/handover.h
+++ b/src/handover/handover.h
@@ -1,9 +1,10 @@
-// Handing the clients' listening socket from the running process of a sidecar to the one that replaces it, by
-// a Unix socket in a folder that both see. docs/note-running.md says why this way.
+// Hands the clients' listening socket from the running process of a sidecar to the process that replaces it,
+// over a Unix socket in a folder that both can access. docs/note-running.md gives the reasons for this
+// design.
 //
-// Knows nothing of flows or limits: it finds the other process, passes the socket, and tells when the other
-// one comes, serves and goes. Whatever is wrong with the folder or the other process leaves an ordinary
-// start.
+// This module knows nothing of flows or limits. It finds the other process, passes the socket, and notifies
+// its owner when the other process connects, serves or exits. If anything is wrong with the folder or the
+// other process, the sidecar starts as if there were none.
 #ifndef UMBERDYKE_HANDOVER_HANDOVER_H_
 #define UMBERDYKE_HANDOVER_HANDOVER_H_
 
@@ -21,28 +22,29 @@
 class Handover {
  public:
   struct Owner {
-    std::function<int()> listener;  // the socket to pass; -1: there is none to pass now
-    std::function<void()> changed;  // the other process has come, serves, or has gone
+    std::function<int()> listener_fd;  // the socket to pass, or -1 if there is none now
+    std::function<void()> on_change;   // the other process has connected, serves or has exited
   };
-  // `folder` empty: nobody is asked, and nobody can ask.
+  // If `folder` is empty, handover is disabled in both directions.
   Handover(Loop& loop, const std::string& folder, const Address& listen, Counters& counters, Owner owner);
   ~Handover();
 
-  // Asks a predecessor for its listening socket; blocks for a moment at the most. The caller owns the socket.
-  std::optional<int> Ask();
-  // From now on whoever asks gets the socket, and a predecessor knows that it may leave.
-  // Returns an empty text, or why nobody can ask.
-  std::string Offer();
+  // Requests the listening socket from a predecessor, which the caller then owns; nullopt if there is none.
+  // Blocks for at most 500 ms per socket operation.
+  std::optional<int> RequestListener();
+  // Notifies a predecessor that this process serves, and from now on offers the listening socket to
+  // successors. Returns an empty string, or why successors cannot request it.
+  std::string OfferListener();
 
-  bool predecessor() const { return predecessor_ != nullptr; }  // lives, and has passed its socket
-  bool successor() const;                                       // lives, has the socket and serves
-  bool shared() const { return predecessor() || !successors_.empty(); }
+  bool has_predecessor() const { return predecessor_ != nullptr; }  // it runs and has passed its socket
+  bool has_serving_successor() const;                               // it runs, has the socket and serves
+  bool has_other_process() const { return has_predecessor() || !successors_.empty(); }
 
  private:
   struct Successor;
-  void Come();
-  void Hear(Successor& successor);
-  void PredecessorGone();
+  void OnConnection();
+  void OnSuccessorMessage(Successor& has_serving_successor);
+  void OnPredecessorExit();
   std::string PathError() const;
 
   Loop& loop_;
--- a/src/sidecar/life.h
+++ b/src/sidecar/life.h
@@ -1,4 +1,4 @@
-// What a sidecar is doing, in one place: readiness, drain, activate and the notice to end share it. Pure.
+// The lifecycle state of a sidecar, shared by readiness, drain, activate and shutdown. No I/O.
 #ifndef UMBERDYKE_SIDECAR_LIFE_H_
 #define UMBERDYKE_SIDECAR_LIFE_H_
 
@@ -13,11 +13,11 @@
   enum class State {
     kStarting,  // cannot serve yet
     kServing,
-    kDrained,       // clients are sent elsewhere; what comes all the same is served
-    kShuttingDown,  // told to end: nothing leads back
+    kDrained,       // clients are sent elsewhere; requests that still arrive are served
+    kShuttingDown,  // final: no call leads out of this state
   };
   State state() const {
-    if (ending_) return State::kShuttingDown;
+    if (shutting_down_) return State::kShuttingDown;
     if (drained_) return State::kDrained;
     return can_serve_ ? State::kServing : State::kStarting;
   }
@@ -29,29 +29,31 @@
 
   void StartServing(Time now) {
     can_serve_ = true;
-    since_ = now;
+    serving_since_ = now;
   }
-  Time since() const { return since_; }  // it serves; Time(): not yet
-  // These three are told as often as anybody likes, in any order; false where it is ending already.
+  // When serving began; Time() if it has not yet.
+  Time serving_since() const { return serving_since_; }
+  // Drain, Activate and Shutdown may be called repeatedly and in any order. They return false if the sidecar
+  // is already shutting down.
   bool Drain() {
-    drained_ = drained_ || !ending_;
-    return !ending_;
+    drained_ = drained_ || !shutting_down_;
+    return !shutting_down_;
   }
   bool Activate() {
-    drained_ = drained_ && ending_;
-    return !ending_;
+    drained_ = drained_ && shutting_down_;
+    return !shutting_down_;
   }
   bool Shutdown() {
-    const bool first = !ending_;
-    ending_ = true;
+    const bool first = !shutting_down_;
+    shutting_down_ = true;
     return first;
   }
 
  private:
   bool can_serve_ = false;
-  Time since_{};
+  Time serving_since_{};
   bool drained_ = false;
-  bool ending_ = false;
+  bool shutting_down_ = false;
 };
 
 }  // namespace umberdyke::net
--- a/src/sidecar/limits.cpp
+++ b/src/sidecar/limits.cpp
@@ -1,3 +1,4 @@
+// Connection limits and shutdown delays computed from the settings.
 #include "sidecar/limits.h"
 
 #include <algorithm>
@@ -7,54 +8,54 @@
 
 using namespace std::chrono_literals;
 
-// After the notice to end the program is killed no sooner than this long after the longest deadline, and no
-// deadline counts for more than that.
-constexpr Span kKillAfter = 700ms;
-constexpr Span kLongestCounted = 3s;
-constexpr Span kServeOnAtLeast = 800ms;  // connections still come, and requests on them
-constexpr Span kToSpare = 200ms;         // between the last answers and the end
-constexpr Span kToClose = 50ms;          // and between the last that is taken and the end
-// Descriptors that are neither a client's nor a real server's: the loop, log, listener and discovery, and
-// those set aside for the console's callers, which nobody else may use.
-constexpr int kOtherDescriptors = 24;
-constexpr int kFewestEdges = 4;
-constexpr int kFewestCallers = 8;
-constexpr int kMostCallers = 24;
+// The operator kills the process no sooner than kKillMargin after the longest request deadline, where
+// deadlines above kMaxCountedDeadline count as that.
+constexpr Span kKillMargin = 700ms;
+constexpr Span kMaxCountedDeadline = 3s;
+constexpr Span kMinGracePeriod = 800ms;      // connections and requests still arrive in this time
+constexpr Span kLastResponseMargin = 200ms;  // from the last responses to the kill
+constexpr Span kLastRequestMargin = 50ms;    // from the last accepted request to the kill
+// Descriptors for the loop, log, listener and discovery. Console connections come on top of these and are
+// reserved for the console alone.
+constexpr int kReservedDescriptors = 24;
+constexpr int kMinEdgeConnections = 4;
+constexpr int kMinConsoleConnections = 8;
+constexpr int kConsoleConnectionsCap = 24;
 
 }  // namespace
 
-Span KillTime(const Settings& settings) {
+Span KillDelay(const Settings& settings) {
   std::chrono::microseconds longest{};
   for (const RequestClass& c : settings.classes) {
     longest = std::max(longest, std::chrono::microseconds(c.deadline));
   }
-  return std::min<Span>(longest, kLongestCounted) + kKillAfter;
+  return std::min<Span>(longest, kMaxCountedDeadline) + kKillMargin;
 }
 
-// Clients keep their connections for as long as these stay open, and the others may be ending too: requests
-// are taken for as long as a useful answer still comes before the end.
-Span ServeOn(const Settings& settings) {
+// Clients keep their connections for as long as these stay open, and the other sidecars may be shutting down
+// too. Requests are therefore forwarded for as long as a useful response can arrive before the kill.
+Span GracePeriod(const Settings& settings) {
   std::chrono::microseconds useful{};
   for (const RequestClass& c : settings.classes) useful = std::max(useful, std::chrono::microseconds(c.aim));
-  return std::max<Span>(KillTime(settings) - useful - kToSpare, kServeOnAtLeast);
+  return std::max<Span>(KillDelay(settings) - useful - kLastResponseMargin, kMinGracePeriod);
 }
 
-Span AnswerTime(const Settings& settings) { return KillTime(settings) - kToSpare; }
+Span LastResponseDelay(const Settings& settings) { return KillDelay(settings) - kLastResponseMargin; }
 
-Span TakeTime(const Settings& settings) { return KillTime(settings) - kToClose; }
+Span LastRequestDelay(const Settings& settings) { return KillDelay(settings) - kLastRequestMargin; }
 
-int MostCallers(const Config& config) {
-  return std::clamp(config.descriptors / 16, kFewestCallers, kMostCallers);
+int MaxConsoleConnections(const Config& config) {
+  return std::clamp(config.descriptors / 16, kMinConsoleConnections, kConsoleConnectionsCap);
 }
 
-int EdgeLimit(const Config& config, bool shared) {
-  const int callers = config.console ? MostCallers(config) : kMostCallers;
-  const int all = shared ? config.descriptors / 2 : config.descriptors;
-  return std::max((all - kOtherDescriptors - callers) / 2, kFewestEdges);
+int MaxEdgeConnections(const Config& config, bool shared) {
+  const int console = config.console ? MaxConsoleConnections(config) : kConsoleConnectionsCap;
+  const int descriptors = shared ? config.descriptors / 2 : config.descriptors;
+  return std::max((descriptors - kReservedDescriptors - console) / 2, kMinEdgeConnections);
 }
 
-RealServers::Limits ServerLimits(const Config& config) {
-  return {config.connect_timeout, config.connection_idle, EdgeLimit(config)};
+RealServers::Limits RealServerLimits(const Config& config) {
+  return {config.connect_timeout, config.connection_idle, MaxEdgeConnections(config)};
 }
 
 }  // namespace umberdyke::net
--- a/src/sidecar/limits.h
+++ b/src/sidecar/limits.h
@@ -1,5 +1,4 @@
-// How many connections a sidecar may hold of each kind, and how long its end takes: figures from its settings
-// alone.
+// The connection limits of a sidecar and the delays of its shutdown, computed from its settings alone.
 #ifndef UMBERDYKE_SIDECAR_LIMITS_H_
 #define UMBERDYKE_SIDECAR_LIMITS_H_
 
@@ -9,19 +8,21 @@
 
 namespace umberdyke::net {
 
-// From the notice to the end that an operator forces.
-Span KillTime(const Settings& settings);
-// By when, after the notice, all that was taken has its answer.
-Span AnswerTime(const Settings& settings);
-// Until when, after it, what has come on a connection is still taken, and answered at once.
-Span TakeTime(const Settings& settings);
-// For how long after it requests are taken for their servers.
-Span ServeOn(const Settings& settings);
-// At the console, at once.
-int MostCallers(const Config& config);
-// Of clients, and as many of real servers. Two processes of one sidecar hold half of its descriptors each.
-int EdgeLimit(const Config& config, bool shared = false);
-RealServers::Limits ServerLimits(const Config& config);
+// These four are measured from the start of the shutdown.
+// When the operator kills the process.
+Span KillDelay(const Settings& settings);
+// When every accepted request has its response.
+Span LastResponseDelay(const Settings& settings);
+// Until when requests that are already on a connection are accepted; they are answered at once.
+Span LastRequestDelay(const Settings& settings);
+// How long requests are still forwarded to real servers.
+Span GracePeriod(const Settings& settings);
+// Concurrent connections at the console.
+int MaxConsoleConnections(const Config& config);
+// Connections of clients; the same number is allowed to real servers. If two processes of one sidecar share
+// its limits (`shared`), each gets half of the descriptors.
+int MaxEdgeConnections(const Config& config, bool shared = false);
+RealServers::Limits RealServerLimits(const Config& config);
 
 }  // namespace umberdyke::net
 
--- a/src/sidecar/main.cpp
+++ b/src/sidecar/main.cpp
@@ -1,4 +1,4 @@
-// The sidecar on real sockets: command line, start, signals, exit.
+// The main program of the sidecar: command line, startup, signals and exit status.
 #include <CLI/CLI.hpp>
 #include <csignal>
 #include <cstdlib>
@@ -33,28 +33,29 @@
                                                    {"warning", log::Level::kWarning},
                                                    {"error", log::Level::kError}};
 
-void Describe(CLI::App& app, Options* options) {
+void AddOptions(CLI::App& app, Options* options) {
   app.description(
-      "The sidecar: stands before a tier of servers and passes each request on to one that can do it in "
-      "time.");
+      "Sidecar load balancer: forwards each request to a server of its tier that can answer before the "
+      "deadline.");
   app.set_version_flag("--version", "umberdyke " UMBERDYKE_VERSION);
-  app.add_option("--config", options->config, "The JSON file to start from; goes before ROUTER_CONFIG")
+  app.add_option("--config", options->config, "JSON configuration file; overrides ROUTER_CONFIG")
       ->type_name("FILE");
   app.add_flag("--check", options->check,
-               "Load everything, say what is wrong, and exit: 0 clean, 1 findings, "
-               "2 could not read");
-  app.add_option("--log-format", options->log_format, "text or json; goes before the file's log.format")
+               "Check the configuration, print the findings and exit: 0 no findings, 1 findings, "
+               "2 cannot be read");
+  app.add_option("--log-format", options->log_format, "text or json; overrides log.format of the file")
       ->transform(CLI::CheckedTransformer(kFormats))
       ->type_name("FORMAT");
-  app.add_option("--log-level", options->log_level, "debug, info, warning or error; goes before log.level")
+  app.add_option("--log-level", options->log_level, "debug, info, warning or error; overrides log.level")
       ->transform(CLI::CheckedTransformer(kLevels))
       ->type_name("LEVEL");
   app.footer(
-      "With no arguments all comes from ROUTER_CONFIG, ROUTER_NAME, ROUTER_LISTEN and ROUTER_DISCOVERY.\n"
+      "Without arguments, the configuration comes from ROUTER_CONFIG, ROUTER_NAME, ROUTER_LISTEN and "
+      "ROUTER_DISCOVERY.\n"
       "Example:\n  umberdyke --config /etc/umberdyke/linen-track.front-1.json --log-format json");
 }
 
-// Everything that a start reads, and every finding of it.
+// Loads everything that a start loads, prints the findings and returns the exit status.
 int CheckConfiguration(const net::Environment& environment) {
   const std::string path = environment("ROUTER_CONFIG").value_or("");
   if (path.empty()) {
@@ -71,11 +72,11 @@
   findings.Sort({path});
   for (const config::Finding& finding : findings.list()) std::cout << config::PrintLine(finding) << "\n";
   if (!findings.empty()) return 1;
-  // What the program itself makes of it, the module included.
+  // Load it as a start does, including the decision module.
   const net::Config config = net::LoadConfig(environment);
   Actions actions;
   const Balancer balancer(config.settings, config.seed, 0, &actions);
-  std::cout << path << ": good for " << config.name << ", tier " << config.settings.tier << "\n";
+  std::cout << path << ": valid for " << config.name << ", tier " << config.settings.tier << "\n";
   return 0;
 }
 
@@ -94,9 +95,9 @@
   const auto log = log::StderrLog(FormatOf(options, config), LevelOf(options, config), config.name);
   net::Loop loop;
   net::Sidecar sidecar(loop, config, log);
-  const auto end = [&] { sidecar.Shutdown([&] { loop.Stop(); }); };
-  const net::Signal term(loop, SIGTERM, end);
-  const net::Signal interrupt(loop, SIGINT, end);
+  const auto shutdown = [&] { sidecar.Shutdown([&] { loop.Stop(); }); };
+  const net::Signal terminate(loop, SIGTERM, shutdown);
+  const net::Signal interrupt(loop, SIGINT, shutdown);
   const net::Signal reload(loop, SIGHUP,
                            [&] { sidecar.Reload([&] { return net::ReloadConfig(environment); }); });
   const net::Signal print(loop, SIGUSR1, [&] {
@@ -115,7 +116,7 @@
   std::signal(SIGPIPE, SIG_IGN);
   Options options;
   CLI::App app;
-  Describe(app, &options);
+  AddOptions(app, &options);
   try {
     app.parse(argc, argv);
   } catch (const CLI::ParseError& error) {
--- a/src/sidecar/sidecar.cpp
+++ b/src/sidecar/sidecar.cpp
@@ -1,3 +1,4 @@
+// Wires the parts of the sidecar together and runs its startup, drain, shutdown and reload.
 #include "sidecar/sidecar.h"
 
 #include <unistd.h>
@@ -14,19 +15,19 @@
 using namespace std::chrono_literals;
 using log::Event;
 
-constexpr Span kTick = 1s;
-constexpr Span kForget = 60s;        // after this a server that has gone is nobody's business any more
-constexpr Span kAcceptAgain = 50ms;  // while clients wait for a connection to be spared
-constexpr Span kCheckTime = 200ms;
-// Clients that are sent away: their connections end with an answer; those that ask nothing are left alone for
-// a while, as a close may cross a request, and closed in time for the notice of two seconds.
-constexpr Span kLeaveAlone = 1s;
-constexpr Span kListWait = 1500ms;  // a process that takes over serves once discovery has told, or after this
-constexpr Span kPushedWait = 4s;    // and one whose lists are pushed, after this
-constexpr Span kListenAgain = 50ms;  // while another's process holds the address
-constexpr Span kIdleSweep = 100ms;
-constexpr Span kLastAccepts = 5ms;  // while connections still wait at an end
-constexpr Span kStillIdle = 300ms;
+constexpr Span kHousekeepingInterval = 1s;
+constexpr Span kGoneServerRetention = 60s;  // a server that has left the list is kept this long
+constexpr Span kAcceptRetryDelay = 50ms;    // while clients wait in the kernel's accept queue
+constexpr Span kHealthCheckTimeout = 200ms;
+// While draining, a connection closes after its next response. Idle connections stay open for this long, as a
+// close may cross a request, and are then closed, early enough for a drain notice of two seconds.
+constexpr Span kDrainIdleGrace = 1s;
+constexpr Span kTakeoverListTimeout = 1500ms;  // a process that takes over waits this long for a list
+constexpr Span kPushedListTimeout = 4s;        // the same for one that starts alone and gets pushed lists
+constexpr Span kListenRetryDelay = 50ms;       // while another process holds the address
+constexpr Span kIdleSweepInterval = 100ms;
+constexpr Span kPendingAcceptRetryDelay = 5ms;  // at shutdown, while connections are in the accept queue
+constexpr Span kMinIdleTime = 300ms;
 
 }  // namespace
 
@@ -37,19 +38,19 @@
       platform_(config_),
       metrics_(config_.class_names, config_.console.has_value()),
       streaming_limit_(config_.memory),
-      server_list_(counters_, [this](const ServerListEvent& c) { Told(c); }),
-      servers_(loop, ServerLimits(config_), streaming_limit_, counters_),
+      server_list_(counters_, [this](const ServerListEvent& c) { OnListChange(c); }),
+      servers_(loop, RealServerLimits(config_), streaming_limit_, counters_),
       decisions_(loop, config_, counters_, *this),
       request_intake_(platform_, counters_,
                       [this](int request_class) { flow_recorder_.CountInvalidRequest(request_class); }),
       flow_admission_(
-          loop, flows_, counters_, [this](FlowId flow) { LastCall(flow); },
+          loop, flows_, counters_, [this](FlowId flow) { OnFinalDeadline(flow); },
           [this](int request_class) { flow_recorder_.CountInvalidRequest(request_class); }),
       attempt_router_(server_list_, config_.settings),
       attempt_sender_(
           servers_, attempt_router_, platform_, metrics_, counters_, config_.settings.parallel_attempts,
-          [this](FlowId flow) { return Wanted(flow); },
-          [this](AttemptResult result) { AttemptEnded(std::move(result)); },
+          [this](FlowId flow) { return FindFlowWithClient(flow); },
+          [this](AttemptResult result) { OnAttemptEnd(std::move(result)); },
           {[this](FlowId id) {
              if (Flow* flow = flows_.Find(id); flow != nullptr) attempt_sender_.ForwardBody(*flow);
            },
@@ -57,33 +58,35 @@
            [this](FlowId id) {
              if (const Flow* flow = flows_.Find(id); flow != nullptr) decisions_.OnBodySent(*flow);
            },
-           [this](FlowId flow, int attempt, const Message& head) { AnswerBegins(flow, attempt, head); },
+           [this](FlowId flow, int attempt, const Message& head) { OnResponseHead(flow, attempt, head); },
            [this](FlowId flow, int attempt, std::string piece) {
-             AnswerPiece(flow, attempt, std::move(piece));
+             OnResponseData(flow, attempt, std::move(piece));
            }}),
       response_writer_(platform_, config_.settings, counters_),
       flow_recorder_(loop, flows_, platform_, decisions_, metrics_, counters_),
-      listener_(loop, [this] { AcceptWaiting(); }),
-      edge_limit_(EdgeLimit(config_)),
-      begin_timer_(loop, [this] { BeginServing(); }),
+      listener_(loop, [this] { AcceptConnection(); }),
+      edge_limit_(MaxEdgeConnections(config_)),
+      start_timer_(loop, [this] { StartServing(); }),
       accept_timer_(loop, [this] { OnIdle(); }),
-      close_timer_(loop, [this] { CloseEdges(); }),
-      listener_timer_(loop, [this] { StopListening(); }),
-      idle_timer_(loop, [this] { CloseIdleEdges(); }),
+      close_timer_(loop, [this] { StartClosing(); }),
+      stop_listening_timer_(loop, [this] { StopListening(); }),
+      idle_edges_timer_(loop, [this] { CloseIdleEdges(); }),
       tick_(loop, [this] { Tick(); }) {
   if (config_.console) {
     const ConsoleIdentity identity{config_.application, config_.name, config_.settings.tier, config_.release};
-    console_ = std::make_unique<Console>(loop, *this, identity, counters_, *log_, MostCallers(config_));
+    console_ =
+        std::make_unique<Console>(loop, *this, identity, counters_, *log_, MaxConsoleConnections(config_));
     if (const std::string error = console_->Listen(*config_.console); !error.empty()) {
-      throw ConfigError("configuration: console cannot be listened on: " + error);
+      throw ConfigError("configuration: cannot listen on the console address: " + error);
     }
   }
   if (config_.sites) {
-    zones_ = std::make_unique<ZoneWatch>(
+    zone_watch_ = std::make_unique<ZoneWatch>(
         loop, config_, counters_, *log_,
-        ZoneWatch::Owner{
-            [this](const std::vector<double>& parts) { decisions_.OnZoneShares(parts); },
-            [this](ServerId server) { Check(server, [](Outcome, const std::optional<LoadReport>&) {}); }});
+        ZoneWatch::Owner{[this](const std::vector<double>& parts) { decisions_.OnZoneShares(parts); },
+                         [this](ServerId server) {
+                           RunHealthCheck(server, [](Outcome, const std::optional<LoadReport>&) {});
+                         }});
   }
   const std::optional<ServerListChange> known = platform_.ParseServerList(config_.known);
   if (!known && !config_.known.empty()) counters_.Add("discovery_unreadable");
@@ -97,49 +100,50 @@
         std::make_unique<PeerExchange>(loop, *config_.peers, config_.seed, *source_, server_list_, counters_);
   }
   const bool pushed = !config_.settings.must_ask;
-  awaits_list_ = pushed && !config_.membership;
-  if (pushed || config_.membership) source_->Watch(true);  // nobody has to ask first
-  Begin();
-  running_ = true;
-  tick_.Start(kTick);
+  awaiting_pushed_list_ = pushed && !config_.membership;
+  if (pushed || config_.membership) source_->Watch(true);  // pushed lists arrive without a poll
+  Start();
+  constructed_ = true;
+  tick_.Start(kHousekeepingInterval);
 }
 
 Sidecar::~Sidecar() {
-  if (inherited_) close(*inherited_);
-}
-
-// With a console the process may be one that replaces another: that one serves until this one can.
-void Sidecar::Begin() {
-  if (!config_.console) return BeginUnlisted();
-  handover_ =
-      std::make_unique<Handover>(loop_, config_.runtime_folder, config_.listen, counters_,
-                                 Handover::Owner{[this] { return listener_.fd(); }, [this] { Shared(); }});
-  inherited_ = handover_->Ask();
-  if (!inherited_) return BeginUnlisted();
-  log_->Say(Event::kTakingOver, config_.name + " takes over from a process that serves", {});
-  Shared();
-  begin_timer_.Start(kListWait);
-}
-
-void Sidecar::BeginUnlisted() {
-  if (!awaits_list_) return BeginServing();
-  begin_timer_.Start(kPushedWait);
-}
-
-void Sidecar::BeginServing() {
-  begin_timer_.Stop();
-  const bool waits =
-      config_.console.has_value();  // there may be a predecessor that knows nothing of all this
-  const std::string error = inherited_ ? listener_.Adopt(*std::exchange(inherited_, std::nullopt))
-                                       : listener_.Listen(config_.listen, waits);
+  if (inherited_listener_) close(*inherited_listener_);
+}
+
+// With a console, this process may replace another one, which serves until this one can.
+void Sidecar::Start() {
+  if (!config_.console) return StartWithoutPredecessor();
+  handover_ = std::make_unique<Handover>(
+      loop_, config_.runtime_folder, config_.listen, counters_,
+      Handover::Owner{[this] { return listener_.fd(); }, [this] { OnHandoverChange(); }});
+  inherited_listener_ = handover_->RequestListener();
+  if (!inherited_listener_) return StartWithoutPredecessor();
+  log_->Say(Event::kTakingOver, config_.name + " takes over from a serving process", {});
+  OnHandoverChange();
+  start_timer_.Start(kTakeoverListTimeout);
+}
+
+void Sidecar::StartWithoutPredecessor() {
+  if (!awaiting_pushed_list_) return StartServing();
+  start_timer_.Start(kPushedListTimeout);
+}
+
+void Sidecar::StartServing() {
+  start_timer_.Stop();
+  const bool may_retry =
+      config_.console.has_value();  // a predecessor without handover support may hold the address
+  const std::string error = inherited_listener_
+                                ? listener_.Adopt(*std::exchange(inherited_listener_, std::nullopt))
+                                : listener_.Listen(config_.listen, may_retry);
   if (!error.empty()) {
-    // An address that cannot be had at all is a mistake; one that is taken may be a predecessor's. A process
-    // that runs already goes on trying.
-    if (!running_ && (!waits || !Listener::IsAddressInUse(error))) {
-      throw ConfigError("configuration: listen cannot be listened on: " + error);
+    // An unusable address is a configuration error at startup. An address in use may belong to a predecessor,
+    // so a process with a console retries, and so does any process that has started already.
+    if (!constructed_ && (!may_retry || !Listener::IsAddressInUse(error))) {
+      throw ConfigError("configuration: cannot listen on the listen address: " + error);
     }
     log_->Say(Event::kAddressTaken, config_.name + " cannot listen yet: " + error, {{"why", error}});
-    begin_timer_.Start(kListenAgain);
+    start_timer_.Start(kListenRetryDelay);
     return;
   }
   lifecycle_.StartServing(Clock::now());
@@ -151,25 +155,26 @@
              {"application", config_.application},
              {"us", MicrosNow()}});
   if (handover_ == nullptr) return;
-  if (const std::string why = handover_->Offer(); !why.empty()) counters_.Add("handover_not_offered");
+  if (const std::string why = handover_->OfferListener(); !why.empty()) counters_.Add("handover_not_offered");
 }
 
-// Both processes of a sidecar hold its limits together; half each.
-void Sidecar::Shared() {
-  const bool shared = handover_->shared();
-  edge_limit_ = EdgeLimit(config_, shared);
+// While two processes of a sidecar run, each holds half of its limits.
+void Sidecar::OnHandoverChange() {
+  const bool shared = handover_->has_other_process();
+  edge_limit_ = MaxEdgeConnections(config_, shared);
   streaming_limit_.SetShared(shared);
   servers_.SetMaxConnections(edge_limit_);
-  ShedTo(edge_limit_);
+  ShedEdgesDownTo(edge_limit_);
   log_->Say(Event::kTakenOver,
             config_.name + (shared ? " shares its limits with another process" : " has its limits to itself"),
-            {{"serves", handover_->successor()}});
-  if (!handover_->predecessor() && inherited_) BeginServing();  // nobody else takes what waits
+            {{"serves", handover_->has_serving_successor()}});
+  if (!handover_->has_predecessor() && inherited_listener_)
+    StartServing();  // no other process accepts the queued connections
   OnIdle();
 }
 
-// Those at rest, or silent, over a limit; what is busy stays.
-void Sidecar::ShedTo(int edges) {
+// Closes idle connections over the limit, and those that sent nothing; busy ones stay.
+void Sidecar::ShedEdgesDownTo(int edges) {
   while (static_cast<int>(edges_.size()) > edges && ShedOldestEdge()) {
   }
 }
@@ -178,39 +183,39 @@
   log_->Say(Event::kModule, "module: " + text, {{"said", text}});
 }
 
-void Sidecar::Told(const ServerListEvent& change) {
-  // One line for a run of failures and one for its end: discovery may be down for days.
+void Sidecar::OnListChange(const ServerListEvent& change) {
+  // Log one line for a run of failures and one for its end: discovery may be down for days.
   if (change.kind == ListUpdate::kFailed) {
-    if (watch_failures_++ == 0) {
-      log_->Say(Event::kDiscoveryBroke, "the watch on discovery broke: " + change.error,
-                {{"why", change.error}});
+    if (discovery_failures_++ == 0) {
+      log_->Say(Event::kDiscoveryBroke, "discovery watch failed: " + change.error, {{"why", change.error}});
     }
-  } else if (watch_failures_ > 0 && !change.from_peers) {
-    const int failures = std::exchange(watch_failures_, 0);
-    log_->Say(Event::kDiscoveryBack, "discovery tells again, after " + std::to_string(failures) + " failures",
+  } else if (discovery_failures_ > 0 && !change.from_peers) {
+    const int failures = std::exchange(discovery_failures_, 0);
+    log_->Say(Event::kDiscoveryBack,
+              "discovery watch recovered after " + std::to_string(failures) + " failures",
               {{"failures", std::int64_t{failures}}});
   }
-  if (zones_) zones_->Listed(change);
+  if (zone_watch_) zone_watch_->OnListChange(change);
   decisions_.OnListChange(change);
-  const bool told = change.kind != ListUpdate::kFailed && change.kind != ListUpdate::kCached;
-  if (told && (inherited_ || awaits_list_)) {
+  const bool received = change.kind != ListUpdate::kFailed && change.kind != ListUpdate::kCached;
+  if (received && (inherited_listener_ || awaiting_pushed_list_)) {
     loop_.Post(alive_, [this] {
-      const bool begins =
-          std::exchange(awaits_list_, false) && lifecycle_.state() == Lifecycle::State::kStarting;
-      if (inherited_ || begins) BeginServing();
+      const bool can_start =
+          std::exchange(awaiting_pushed_list_, false) && lifecycle_.state() == Lifecycle::State::kStarting;
+      if (inherited_listener_ || can_start) StartServing();
     });
   }
-  // What leaves gets nothing new: connections at rest there only hold descriptors.
+  // A server that is leaving gets no new requests: idle connections to it only hold descriptors.
   for (const ServerListEvent::Entry& entry : change.entries) {
     if (!attempt_router_.AcceptsNewWork(entry.server)) servers_.CloseIdle(entry.server);
   }
 }
 
-void Sidecar::AcceptWaiting() {
-  if (static_cast<int>(edges_.size()) >= edge_limit_ && !ShedOldestEdge()) return LetWait();
+void Sidecar::AcceptConnection() {
+  if (static_cast<int>(edges_.size()) >= edge_limit_ && !ShedOldestEdge()) return PauseAccepting();
   auto edge = std::make_unique<EdgeConnection>(loop_, *this, streaming_limit_);
-  if (std::exchange(accept_waits_, false)) listener_.Resume();
-  if (!edge->Accept(listener_)) {  // none can be had, or another process of this sidecar was quicker
+  if (std::exchange(accept_paused_, false)) listener_.Resume();
+  if (!edge->Accept(listener_)) {  // no descriptor, or another process accepted it first
     if (!listener_.out_of_descriptors()) return;
     counters_.Add("edges_not_accepted");
     ShedOldestEdge();
@@ -221,15 +226,15 @@
   if (closing_) taken.CloseWhenIdle();
 }
 
-// Clients stay in the kernel's queue until a connection can be spared.
-void Sidecar::LetWait() {
-  accept_waits_ = true;
+// Clients stay in the kernel's accept queue until an edge connection is free.
+void Sidecar::PauseAccepting() {
+  accept_paused_ = true;
   listener_.Pause();
-  accept_timer_.Start(kAcceptAgain);
+  accept_timer_.Start(kAcceptRetryDelay);
 }
 
-// Guards the usual clients against those that open connections by the hundred and send nothing: these go
-// first.
+// Closes the oldest idle connection. Lingering connections go first, then those that sent no request, which
+// protects regular clients from those that open hundreds of connections and send nothing.
 bool Sidecar::ShedOldestEdge() {
   std::vector<EdgeConnection*> idle;
   for (const auto& [edge, owned] : edges_) {
@@ -240,7 +245,7 @@
     return std::tuple(!e->lingering(), e->has_started_request(), e->last_activity());
   };
   std::sort(idle.begin(), idle.end(), [&](const auto* a, const auto* b) { return rank(a) < rank(b); });
-  // A request may wait there unread.
+  // Skip connections with unread input: it may be a request.
   const auto oldest =
       std::find_if(idle.begin(), idle.end(), [](const auto* e) { return e->NoUnreadInput(); });
   if (oldest == idle.end()) return false;
@@ -249,17 +254,19 @@
   return true;
 }
 
-void Sidecar::OnRequest(EdgeConnection& edge, Message message) { Take(edge, std::move(message), false); }
+void Sidecar::OnRequest(EdgeConnection& edge, Message message) {
+  AdmitRequest(edge, std::move(message), false);
+}
 
 void Sidecar::OnStreamingRequest(EdgeConnection& edge, Message head) {
   counters_.Add("requests_long");
-  Take(edge, std::move(head), true);
+  AdmitRequest(edge, std::move(head), true);
 }
 
-void Sidecar::Take(EdgeConnection& edge, Message message, bool long_body) {
+void Sidecar::AdmitRequest(EdgeConnection& edge, Message message, bool long_body) {
   const bool ready = lifecycle_.ready() || replaced();
   std::optional<FlowRequest> request =
-      request_intake_(edge, std::move(message), long_body, ready, Leaves(edge));
+      request_intake_(edge, std::move(message), long_body, ready, ClosesAfterResponse(edge));
   if (!request) return;
   Flow* flow = flow_admission_(edge, std::move(*request));
   if (flow == nullptr) return;
@@ -278,18 +285,19 @@
   if (const Flow* flow = flows_.Find(edge.flow); flow != nullptr) attempt_sender_.ResumeResponse(*flow);
 }
 
-// What comes of a long body is no body, or comes too slowly: its flow ends with the answer that says so.
+// A streaming body may turn out malformed or too slow after its flow began: the flow ends with the error
+// response.
 void Sidecar::OnInvalidRequest(EdgeConnection& edge, ParseResult why) {
-  LeaveFlow(edge, FlowEnd::kFailed);
+  AbandonFlow(edge, FlowEnd::kFailed);
   request_intake_.RespondToInvalidRequest(edge, why);
 }
 
 void Sidecar::OnRequestTimeout(EdgeConnection& edge) {
-  LeaveFlow(edge, FlowEnd::kFailed);
+  AbandonFlow(edge, FlowEnd::kFailed);
   request_intake_.RespondToSlowRequest(edge);
 }
 
-void Sidecar::LeaveFlow(EdgeConnection& edge, FlowEnd ending) {
+void Sidecar::AbandonFlow(EdgeConnection& edge, FlowEnd ending) {
   const FlowId flow = std::exchange(edge.flow, 0);
   if (flow == 0) return;
   flow_recorder_.CloseFlow(flow, ending);
@@ -297,17 +305,17 @@
   decisions_.OnClientGone(flow);
 }
 
-// Asked right before anything of an attempt goes out.
-const Flow* Sidecar::Wanted(FlowId id) {
+// Called right before any part of an attempt is sent.
+const Flow* Sidecar::FindFlowWithClient(FlowId id) {
   const Flow* flow = flows_.Find(id);
   return flow != nullptr && !flow->edge->ClientGone() ? flow : nullptr;
 }
 
-// Clients that wait in the kernel's queue get their turn once a connection can be spared.
+// Accepts clients from the kernel's queue once an edge connection is free.
 void Sidecar::OnIdle() {
-  if (!accept_waits_ || !listener_.open()) return;
+  if (!accept_paused_ || !listener_.open()) return;
   loop_.Post(alive_, [this] {
-    if (accept_waits_ && listener_.open()) AcceptWaiting();
+    if (accept_paused_ && listener_.open()) AcceptConnection();
   });
 }
 
@@ -318,10 +326,10 @@
   edges_.erase(it);
   gone->Close();
   if (gone->flow != 0) counters_.Add("flows_left");
-  LeaveFlow(*gone, FlowEnd::kClientGone);
+  AbandonFlow(*gone, FlowEnd::kClientGone);
   loop_.DestroyLater(std::move(gone));
   OnIdle();
-  TellDrained();
+  NotifyIfDrained();
 }
 
 void Sidecar::SendAttempt(FlowId id, ServerId server, std::optional<Span> time_out,
@@ -333,38 +341,40 @@
     flow = nullptr;
   }
   const int attempt = flow == nullptr ? 0 : flow->attempts++;
-  if (zones_ && zones_->Closed(server)) counters_.Add("sent_to_closed_zone");
+  if (zone_watch_ && zone_watch_->IsBlocked(server)) counters_.Add("sent_to_closed_zone");
   if (flow != nullptr && flow->receiving_body) flow->deadline = Clock::now() + flow->request.time_left;
   const auto routed = flow == nullptr ? std::nullopt : attempt_router_(*flow, server, time_out, send_within);
   if (routed) return attempt_sender_(*flow, attempt, *routed);
   flow_recorder_.ReportAttempt({id, attempt, server, Outcome::kNotSent, {}, {}}, flow == nullptr);
 }
 
-void Sidecar::AttemptEnded(AttemptResult result) {
+void Sidecar::OnAttemptEnd(AttemptResult result) {
   Flow* flow = flows_.Find(result.flow);
-  Heard(result.server, result.outcome);
-  if (zones_) zones_->Ended(result.server, result.outcome, result.elapsed);
+  ReportConnectionResult(result.server, result.outcome);
+  if (zone_watch_) zone_watch_->OnAttemptEnd(result.server, result.outcome, result.elapsed);
   flow_recorder_.RecordAttemptEnd(flow, result.outcome);
   if (flow != nullptr && result.outcome == Outcome::kUnfit) flow->unfit_status = result.response.status;
   const bool served = flow != nullptr && result.outcome == Outcome::kOk;
-  const bool begun = flow != nullptr && flow->streaming_response;
-  if (begun) {
+  const bool streaming = flow != nullptr && flow->streaming_response;
+  if (streaming) {
     flow_recorder_.CloseFlow(result.flow, served ? response_writer_.FinishStreaming(*flow)
                                                  : response_writer_.AbortStreaming(*flow));
   } else if (served) {
-    flow_recorder_.CloseFlow(result.flow, response_writer_.SendServed(*flow, result.response, Leaves(*flow)));
+    flow_recorder_.CloseFlow(result.flow,
+                             response_writer_.SendServed(*flow, result.response, ClosesAfterResponse(*flow)));
   }
-  flow_recorder_.ReportAttempt(result, served || begun || flow == nullptr);
+  flow_recorder_.ReportAttempt(result, served || streaming || flow == nullptr);
 }
 
-void Sidecar::AnswerBegins(FlowId id, int attempt, const Message& head) {
+void Sidecar::OnResponseHead(FlowId id, int attempt, const Message& head) {
   Flow* flow = flows_.Find(id);
   if (flow == nullptr) return attempt_sender_.Cancel(id, attempt);
   decisions_.OnResponseStart(id, attempt);
-  if (!response_writer_.BeginStreaming(*flow, head, Leaves(*flow))) attempt_sender_.PauseResponse(*flow);
+  if (!response_writer_.BeginStreaming(*flow, head, ClosesAfterResponse(*flow)))
+    attempt_sender_.PauseResponse(*flow);
 }
 
-void Sidecar::AnswerPiece(FlowId id, int attempt, std::string piece) {
+void Sidecar::OnResponseData(FlowId id, int attempt, std::string piece) {
   Flow* flow = flows_.Find(id);
   if (flow == nullptr) return attempt_sender_.Cancel(id, attempt);
   if (!response_writer_.StreamData(*flow, std::move(piece))) attempt_sender_.PauseResponse(*flow);
@@ -373,39 +383,41 @@
 void Sidecar::RejectFlow(FlowId id, std::chrono::microseconds retry_after) {
   Flow* flow = flows_.Find(id);
   if (flow == nullptr) return;
-  flow_recorder_.CloseFlow(id, response_writer_.SendRejection(*flow, retry_after, Leaves(*flow)));
+  flow_recorder_.CloseFlow(id,
+                           response_writer_.SendRejection(*flow, retry_after, ClosesAfterResponse(*flow)));
 }
 
 void Sidecar::FailFlow(FlowId id) {
   Flow* flow = flows_.Find(id);
   if (flow == nullptr) return;
-  flow_recorder_.CloseFlow(id, response_writer_.SendFailure(*flow, Leaves(*flow)));
+  flow_recorder_.CloseFlow(id, response_writer_.SendFailure(*flow, ClosesAfterResponse(*flow)));
 }
 
-// A source may keep servers against its own list for as long as they can be reached.
-void Sidecar::Heard(ServerId server, Outcome outcome) {
+// A member source may keep servers that its list no longer has for as long as they can be reached.
+void Sidecar::ReportConnectionResult(ServerId server, Outcome outcome) {
   if (!config_.membership || (outcome != Outcome::kConnectFailed && outcome != Outcome::kOk)) return;
   if (const ServerRecord* record = server_list_.Find(server); record != nullptr) {
     source_->OnConnectionResult(record->id, outcome == Outcome::kOk);
   }
 }
 
-// The module has said nothing so far: an answer leaves all the same, and then it hears of it.
-void Sidecar::LastCall(FlowId id) {
+// The decision module has not ended the flow by its final deadline: send a failure response, then notify the
+// module.
+void Sidecar::OnFinalDeadline(FlowId id) {
   Flow* flow = flows_.Find(id);
   if (flow == nullptr) return;
   counters_.Add("flows_last_call");
-  flow_recorder_.CloseFlow(id, response_writer_.SendFailure(*flow, Leaves(*flow)));
+  flow_recorder_.CloseFlow(id, response_writer_.SendFailure(*flow, ClosesAfterResponse(*flow)));
   decisions_.OnClientGone(id);
 }
 
 void Sidecar::CheckServer(ServerId server) {
-  Check(server, [this, server](Outcome outcome, const std::optional<LoadReport>& load) {
+  RunHealthCheck(server, [this, server](Outcome outcome, const std::optional<LoadReport>& load) {
     decisions_.OnCheckResult(server, outcome, load);
   });
 }
 
-void Sidecar::Check(ServerId server, Checked done) {
+void Sidecar::RunHealthCheck(ServerId server, CheckCallback done) {
   const ServerRecord* record = server_list_.Find(server);
   counters_.Add("checks_sent");
   if (record == nullptr || !attempt_router_.AcceptsNewWork(server)) return done(Outcome::kNotSent, {});
@@ -417,25 +429,25 @@
   events.on_done = [this, server, done](const ExchangeResult& end) {
     const Outcome outcome = AttemptSender::OutcomeOf(end);
     const bool answered = end.code == ExchangeResult::Code::kResponse;
-    Heard(server, outcome);
-    if (zones_) zones_->Probed(server, outcome);  // whoever asked
+    ReportConnectionResult(server, outcome);
+    if (zone_watch_) zone_watch_->OnProbeResult(server, outcome);  // for the module's checks too
     done(outcome, answered ? platform_.ParseCheckLoadReport(end.response) : std::nullopt);
   };
-  servers_.Start(server, record->address, kCheckTime, Time::max(), std::move(events));
+  servers_.Start(server, record->address, kHealthCheckTimeout, Time::max(), std::move(events));
 }
 
 void Sidecar::Tick() {
   servers_.CloseExpired();
-  server_list_.RemoveGone(Clock::now() - kForget);
+  server_list_.RemoveGone(Clock::now() - kGoneServerRetention);
   OnIdle();
-  tick_.Start(kTick);
+  tick_.Start(kHousekeepingInterval);
 }
 
 std::string Sidecar::CheckZonePlan(const std::string& text) const {
-  return zones_ ? zones_->Check(text) : ConsoleOwner::CheckZonePlan(text);
+  return zone_watch_ ? zone_watch_->CheckDirective(text) : ConsoleOwner::CheckZonePlan(text);
 }
 
-void Sidecar::ApplyZonePlan(const std::string& text) { zones_->Take(text); }
+void Sidecar::ApplyZonePlan(const std::string& text) { zone_watch_->ApplyDirective(text); }
 
 ConsoleMetrics Sidecar::CurrentMetrics() const {
   ConsoleMetrics figures = metrics_.figures();
@@ -448,86 +460,86 @@
 bool Sidecar::DrainClients() {
   if (!lifecycle_.Drain()) return false;
   counters_.Add("drains");
-  log_->Say(Event::kClientsSentAway, config_.name + " sends its clients away",
+  log_->Say(Event::kClientsSentAway, config_.name + " drains: its clients are sent elsewhere",
             {{"connections", static_cast<std::int64_t>(edges_.size())}});
-  idle_timer_.Start(kLeaveAlone);
+  idle_edges_timer_.Start(kDrainIdleGrace);
   return true;
 }
 
 bool Sidecar::ReactivateClients() {
   if (!lifecycle_.Activate()) return false;
   counters_.Add("activations");
-  log_->Say(Event::kClientsTakenBack, config_.name + " takes clients again", {});
-  idle_timer_.Stop();
+  log_->Say(Event::kClientsTakenBack, config_.name + " accepts clients again", {});
+  idle_edges_timer_.Stop();
   return true;
 }
 
 void Sidecar::CloseIdleEdges() {
   std::vector<EdgeConnection*> idle;
   for (const auto& [edge, owned] : edges_) {
-    if (edge->idle() && Clock::now() - edge->last_activity() >= kStillIdle) idle.push_back(edge);
+    if (edge->idle() && Clock::now() - edge->last_activity() >= kMinIdleTime) idle.push_back(edge);
   }
   for (EdgeConnection* edge : idle) edge->CloseWhenIdle();
-  idle_timer_.Start(kIdleSweep);
+  idle_edges_timer_.Start(kIdleSweepInterval);
 }
 
-void Sidecar::Shutdown(std::function<void()> drained) {
+void Sidecar::Shutdown(std::function<void()> on_drained) {
   if (!lifecycle_.Shutdown()) return;
-  drained_ = std::move(drained);
+  on_drained_ = std::move(on_drained);
   log_->Say(Event::kDrainBegins,
-            config_.name + " was told to end: " + std::to_string(flows_.size()) + " flows are open",
+            config_.name + " is shutting down: " + std::to_string(flows_.size()) + " flows are open",
             {{"open_flows", static_cast<std::int64_t>(flows_.size())}, {"us", MicrosNow()}});
   source_->Deregister();
-  begin_timer_.Stop();  // one that has not begun yet never does
-  if (inherited_) close(*std::exchange(inherited_, std::nullopt));
-  if (replaced()) listener_.Close();  // what waits in its queue is the other process's
+  start_timer_.Stop();  // a process that does not serve yet never will
+  if (inherited_listener_) close(*std::exchange(inherited_listener_, std::nullopt));
+  if (replaced()) listener_.Close();  // the other process accepts the queued connections
   const Time now = Clock::now();
-  take_until_ = now + TakeTime(config_.settings);
-  flow_admission_.SetFinalDeadline(now + AnswerTime(config_.settings));
-  close_timer_.Start(ServeOn(config_.settings));
+  last_request_at_ = now + LastRequestDelay(config_.settings);
+  flow_admission_.SetFinalDeadline(now + LastResponseDelay(config_.settings));
+  close_timer_.Start(GracePeriod(config_.settings));
 }
 
 void Sidecar::Reload(const std::function<Config()>& load) {
   try {
     const Config next = load();
     counters_.Add("reloads");
-    const bool more = next.rest != config_.rest;
+    const bool other_changes = next.rest != config_.rest;
     const std::string discovery = PrintAddress(next.discovery);
     log_->Say(Event::kReloaded,
-              config_.name + " has read its configuration anew: discovery at " + discovery +
-                  (more ? "; what else has changed holds from the next start on" : ""),
-              {{"discovery", discovery}, {"more_at_next_start", more}});
+              config_.name + " reloaded its configuration: discovery at " + discovery +
+                  (other_changes ? "; other changes take effect at the next start" : ""),
+              {{"discovery", discovery}, {"more_at_next_start", other_changes}});
     source_->Reload(next);
-  } catch (const std::exception& error) {  // nothing that a file says may end a sidecar that serves
+  } catch (const std::exception& error) {  // no file content may stop a serving sidecar
     counters_.Add("reloads_refused");
     log_->Say(Event::kReloadRefused, config_.name + " keeps the configuration it has: " + error.what(),
               {{"why", std::string(error.what())}});
   }
 }
 
-void Sidecar::CloseEdges() {
+void Sidecar::StartClosing() {
   closing_ = true;
   StopListening();
   std::vector<EdgeConnection*> edges;
   for (const auto& [edge, owned] : edges_) edges.push_back(edge);
   for (EdgeConnection* edge : edges) edge->CloseWhenIdle();
-  TellDrained();
+  NotifyIfDrained();
 }
 
-// Those in the kernel's queue have been accepted by the machine, and may have sent their requests: they are
-// taken first.
+// Connections in the kernel's queue are established and may have sent requests: they are accepted before the
+// listener closes.
 void Sidecar::StopListening() {
-  if (listener_.HasPendingConnection() && Clock::now() < take_until_) {
-    return listener_timer_.Start(kLastAccepts);
+  if (listener_.HasPendingConnection() && Clock::now() < last_request_at_) {
+    return stop_listening_timer_.Start(kPendingAcceptRetryDelay);
   }
-  accept_waits_ = false;
+  accept_paused_ = false;
   listener_.Close();
-  TellDrained();
+  NotifyIfDrained();
 }
 
-void Sidecar::TellDrained() {
+void Sidecar::NotifyIfDrained() {
   const bool done = closing_ && !listener_.open() && edges_.empty();
-  if (done && drained_) loop_.Post(alive_, std::exchange(drained_, nullptr));
+  if (done && on_drained_) loop_.Post(alive_, std::exchange(on_drained_, nullptr));
 }
 
 }  // namespace umberdyke::net
--- a/src/sidecar/sidecar.h
+++ b/src/sidecar/sidecar.h
@@ -1,4 +1,4 @@
-// Puts the parts together: edge connections, the chain of stages, the module and the real servers.
+// The sidecar: connects edge connections, the flow stages, the decision module and the real servers.
 #ifndef UMBERDYKE_SIDECAR_SIDECAR_H_
 #define UMBERDYKE_SIDECAR_SIDECAR_H_
 
@@ -34,16 +34,17 @@
 
 class Sidecar : public EdgeOwner, public ActionHandler, public ConsoleOwner {
  public:
-  // Throws ConfigError where it cannot listen or the module finds the settings senseless.
+  // Throws ConfigError if it cannot listen or if the decision module rejects the settings as invalid.
   Sidecar(Loop& loop, const Config& config, std::shared_ptr<log::Log> log);
   ~Sidecar();
 
   Address address() const { return listener_.address(); }
-  // The second address; only where the configuration sets one.
+  // Requires a console address in the configuration.
   Address console_address() const { return console_->address(); }
-  // Serves on for a while, then ends connections after their answers; `drained` follows once all are closed.
-  void Shutdown(std::function<void()> drained);
-  // Takes discovery's address from a new configuration; where `load` throws, all stays as it was.
+  // Serves for the grace period, then closes connections after their responses; calls `on_drained` once all
+  // are closed.
+  void Shutdown(std::function<void()> on_drained);
+  // Applies the discovery address of a new configuration. If `load` throws, nothing changes.
   void Reload(const std::function<Config()>& load);
   const Counters& counters() const { return counters_; }
 
@@ -53,10 +54,10 @@
   ConsoleMetrics CurrentMetrics() const override;
   bool DrainClients() override;
   bool ReactivateClients() override;
-  Time ServingSince() const override { return lifecycle_.since(); }
+  Time ServingSince() const override { return lifecycle_.serving_since(); }
   std::string CheckZonePlan(const std::string& text) const override;
   void ApplyZonePlan(const std::string& text) override;
-  std::string ZoneStatusLines() const override { return zones_ ? zones_->Lines() : ""; }
+  std::string ZoneStatusLines() const override { return zone_watch_ ? zone_watch_->StatusLines() : ""; }
 
   void OnRequest(EdgeConnection& edge, Message message) override;
   void OnStreamingRequest(EdgeConnection& edge, Message head) override;
@@ -74,44 +75,44 @@
   void FailFlow(FlowId flow) override;
   void WatchServerList(bool on) override { source_->Watch(on); }
   void CheckServer(ServerId server) override;
-  using Checked = std::function<void(Outcome outcome, const std::optional<LoadReport>& load)>;
-  void Check(ServerId server, Checked done);
+  using CheckCallback = std::function<void(Outcome outcome, const std::optional<LoadReport>& load)>;
+  void RunHealthCheck(ServerId server, CheckCallback done);
   void CloseIdleConnections(ServerId server) override { servers_.CloseIdle(server); }
   void LogModuleText(const std::string& text) override;
 
-  void Told(const ServerListEvent& change);
-  void AcceptWaiting();
-  void LetWait();
+  void OnListChange(const ServerListEvent& change);
+  void AcceptConnection();
+  void PauseAccepting();
   bool ShedOldestEdge();
-  void Take(EdgeConnection& edge, Message message, bool long_body);
-  void LeaveFlow(EdgeConnection& edge, FlowEnd ending);
-  const Flow* Wanted(FlowId flow);
-  void AnswerBegins(FlowId flow, int attempt, const Message& head);
-  void AnswerPiece(FlowId flow, int attempt, std::string piece);
-  void AttemptEnded(AttemptResult result);
-  void Heard(ServerId server, Outcome outcome);
-  void LastCall(FlowId flow);
+  void AdmitRequest(EdgeConnection& edge, Message message, bool long_body);
+  void AbandonFlow(EdgeConnection& edge, FlowEnd ending);
+  const Flow* FindFlowWithClient(FlowId flow);
+  void OnResponseHead(FlowId flow, int attempt, const Message& head);
+  void OnResponseData(FlowId flow, int attempt, std::string piece);
+  void OnAttemptEnd(AttemptResult result);
+  void ReportConnectionResult(ServerId server, Outcome outcome);
+  void OnFinalDeadline(FlowId flow);
   void Tick();
-  void CloseEdges();
+  void StartClosing();
   void StopListening();
-  void TellDrained();
-  void Begin();
-  void BeginUnlisted();
-  void BeginServing();
-  void Shared();
-  void ShedTo(int edges);
+  void NotifyIfDrained();
+  void Start();
+  void StartWithoutPredecessor();
+  void StartServing();
+  void OnHandoverChange();
+  void ShedEdgesDownTo(int edges);
   void CloseIdleEdges();
-  // The connection ends with its next answer; one of a process that ends, only when it has answered all that
-  // came on it, for as long as there is time: what a connection has brought is owed an answer, pipelined or
-  // not.
-  bool Leaves(const EdgeConnection& edge) const {
+  // Whether the connection closes after its next response. In a process that shuts down, a connection with
+  // pipelined requests stays open until they are answered or last_request_at_ has passed.
+  bool ClosesAfterResponse(const EdgeConnection& edge) const {
     if (lifecycle_.state() == Lifecycle::State::kDrained) return true;
-    return (closing_ || replaced()) && (!edge.HasPipelinedInput() || Clock::now() >= take_until_);
+    return (closing_ || replaced()) && (!edge.HasPipelinedInput() || Clock::now() >= last_request_at_);
   }
-  bool Leaves(const Flow& flow) const { return Leaves(*flow.edge); }
-  // Told to end while another process of this sidecar takes what comes.
+  bool ClosesAfterResponse(const Flow& flow) const { return ClosesAfterResponse(*flow.edge); }
+  // Shutting down while another process of this sidecar accepts new connections.
   bool replaced() const {
-    return lifecycle_.state() == Lifecycle::State::kShuttingDown && handover_ && handover_->successor();
+    return lifecycle_.state() == Lifecycle::State::kShuttingDown && handover_ &&
+           handover_->has_serving_successor();
   }
 
   Loop& loop_;
@@ -126,7 +127,7 @@
   FlowTable flows_;
   ServerList server_list_;
   std::unique_ptr<MemberSource> source_;
-  std::unique_ptr<PeerExchange> peers_;  // where the settings allow it
+  std::unique_ptr<PeerExchange> peers_;  // if the settings allow it
   RealServers servers_;
   Decisions decisions_;
   const RequestIntake request_intake_;
@@ -136,24 +137,26 @@
   const ResponseWriter response_writer_;
   const FlowRecorder flow_recorder_;
   Listener listener_;
-  std::unique_ptr<ZoneWatch> zones_;  // where there is a plan
+  std::unique_ptr<ZoneWatch> zone_watch_;  // if the configuration has a zone plan
   std::unique_ptr<Console> console_;
   std::unique_ptr<Handover> handover_;
-  std::optional<int> inherited_;  // the predecessor's listening socket, until this process can serve
+  std::optional<int> inherited_listener_;  // the predecessor's listening socket, until serving starts
   int edge_limit_;
   std::unordered_map<EdgeConnection*, std::unique_ptr<EdgeConnection>> edges_;
-  int watch_failures_ = 0;    // in a row
-  bool awaits_list_ = false;  // where lists are pushed, they hold from the first moment: none serves before
-  bool running_ = false;      // no longer in its constructor
-  bool accept_waits_ = false;
-  bool closing_ = false;  // told to end, and new connections come no more
-  Time take_until_{};     // right before the end is forced; all that was taken has its answer by then
-  std::function<void()> drained_;
-  Timer begin_timer_;
+  int discovery_failures_ = 0;  // consecutive
+  // Pushed lists apply from the start, so nothing is served before the first one.
+  bool awaiting_pushed_list_ = false;
+  bool constructed_ = false;
+  bool accept_paused_ = false;
+  bool closing_ = false;  // the grace period of the shutdown is over
+  // Shortly before the operator kills the process; every accepted request has its response by then.
+  Time last_request_at_{};
+  std::function<void()> on_drained_;
+  Timer start_timer_;
   Timer accept_timer_;
   Timer close_timer_;
-  Timer listener_timer_;
-  Timer idle_timer_;
+  Timer stop_listening_timer_;
+  Timer idle_edges_timer_;
   Timer tick_;
 };
 
--- a/src/sidecar/zone_watch.cpp
+++ b/src/sidecar/zone_watch.cpp
@@ -1,3 +1,4 @@
+// Feeds events of the sidecar to sites::Watch and applies the changes that it returns.
 #include "sidecar/zone_watch.h"
 
 #include <cstdio>
@@ -8,12 +9,12 @@
 namespace umberdyke::net {
 namespace {
 
-constexpr Span kPace = std::chrono::microseconds(sites::Watch::kPace);
+constexpr Span kUpdateInterval = std::chrono::microseconds(sites::Watch::kPace);
 
-Micros Count(Span span) { return std::chrono::duration_cast<std::chrono::microseconds>(span).count(); }
-Micros Now() { return Count(Clock::now().time_since_epoch()); }
+Micros ToMicros(Span span) { return std::chrono::duration_cast<std::chrono::microseconds>(span).count(); }
+Micros Now() { return ToMicros(Clock::now().time_since_epoch()); }
 
-sites::WatchSettings SettingsOf(const Config& config) {
+sites::WatchSettings WatchSettingsOf(const Config& config) {
   sites::WatchSettings settings;
   settings.own_zone = config.settings.zone;
   settings.tier = config.settings.tier;
@@ -22,7 +23,7 @@
   return settings;
 }
 
-log::Event EventOf(sites::State state) {
+log::Event EventForState(sites::State state) {
   return state == sites::State::kLost        ? log::Event::kZoneLost
          : state == sites::State::kReturning ? log::Event::kZoneReturning
                                              : log::Event::kZoneSound;
@@ -35,12 +36,12 @@
       counters_(counters),
       log_(log),
       owner_(std::move(owner)),
-      watch_(SettingsOf(config), config.seed, Now()),
-      timer_(loop, [this] { Turn(); }) {
-  timer_.Start(kPace);
+      watch_(WatchSettingsOf(config), config.seed, Now()),
+      timer_(loop, [this] { Update(); }) {
+  timer_.Start(kUpdateInterval);
 }
 
-void ZoneWatch::Listed(const ServerListEvent& change) {
+void ZoneWatch::OnListChange(const ServerListEvent& change) {
   std::vector<UpstreamEntry> entries;
   for (const ServerListEvent::Entry& entry : change.entries) {
     UpstreamEntry e;
@@ -52,66 +53,67 @@
   watch_.Listed(Now(), change.kind, entries);
 }
 
-void ZoneWatch::Ended(ServerId server, Outcome outcome, Span took) {
-  watch_.Ended(Now(), server, outcome, Count(took));
+void ZoneWatch::OnAttemptEnd(ServerId server, Outcome outcome, Span elapsed) {
+  watch_.Ended(Now(), server, outcome, ToMicros(elapsed));
 }
 
-void ZoneWatch::Probed(ServerId server, Outcome outcome) {
+void ZoneWatch::OnProbeResult(ServerId server, Outcome outcome) {
   if (outcome == Outcome::kNotSent || outcome == Outcome::kCancelled) return;
   const bool answered = outcome == Outcome::kOk || outcome == Outcome::kError ||
                         outcome == Outcome::kRejected || outcome == Outcome::kUnfit;
   watch_.Probed(Now(), server, answered);
 }
 
-bool ZoneWatch::Closed(ServerId server) const {
+bool ZoneWatch::IsBlocked(ServerId server) const {
   const std::optional<int> zone = watch_.ZoneOf(server);
-  return zone && static_cast<size_t>(*zone) < parts_.size() && parts_[static_cast<size_t>(*zone)] <= 0;
+  return zone && static_cast<size_t>(*zone) < zone_shares_.size() &&
+         zone_shares_[static_cast<size_t>(*zone)] <= 0;
 }
 
-std::string ZoneWatch::Check(const std::string& text) const {
-  const auto read = sites::ReadDirective(text, config_.application, config_.zone_names);
-  const auto* why = std::get_if<std::string>(&read);
-  return why == nullptr ? "" : *why;
+std::string ZoneWatch::CheckDirective(const std::string& text) const {
+  const auto parsed = sites::ReadDirective(text, config_.application, config_.zone_names);
+  const auto* error = std::get_if<std::string>(&parsed);
+  return error == nullptr ? "" : *error;
 }
 
-void ZoneWatch::Take(const std::string& text) {
-  auto read = sites::ReadDirective(text, config_.application, config_.zone_names);
-  if (auto* directive = std::get_if<sites::Directive>(&read); directive != nullptr)
+void ZoneWatch::ApplyDirective(const std::string& text) {
+  auto parsed = sites::ReadDirective(text, config_.application, config_.zone_names);
+  if (auto* directive = std::get_if<sites::Directive>(&parsed); directive != nullptr)
     watch_.Told(Now(), std::move(*directive));
 }
 
-void ZoneWatch::Turn() {
-  timer_.Start(kPace);
-  const sites::Watch::Turn turn = watch_.Act(Now());
-  for (const sites::Change& change : turn.changes) {
+void ZoneWatch::Update() {
+  timer_.Start(kUpdateInterval);
+  const sites::Watch::Turn update = watch_.Act(Now());
+  for (const sites::Change& change : update.changes) {
     const auto zone = static_cast<size_t>(change.zone);
     const std::string name =
         zone < config_.zone_names.size() ? config_.zone_names[zone] : std::to_string(change.zone);
     counters_.Add(std::string("zones_") + sites::Name(change.to));
     log_.Say(
-        EventOf(change.to), "zone " + name + " is " + sites::Name(change.to) + ": " + change.why,
+        EventForState(change.to), "zone " + name + " is " + sites::Name(change.to) + ": " + change.why,
         {{"zone", name}, {"why", change.why}, {"cut_off", watch_.verdicts().cut_off()}, {"us", change.at}});
   }
-  if (turn.parts) {
-    parts_ = *turn.parts;
-    owner_.parts(parts_);
+  if (update.parts) {
+    zone_shares_ = *update.parts;
+    owner_.on_zone_shares(zone_shares_);
   }
-  for (const UpstreamId server : turn.probes) {
+  for (const UpstreamId server : update.probes) {
     const bool lost = watch_.Lost(server);
     counters_.Add(lost ? "probes_lost_zone" : "probes_suspect_zone");
     owner_.probe(server);
   }
 }
 
-std::string ZoneWatch::Lines() const {
+std::string ZoneWatch::StatusLines() const {
   std::string out;
   for (size_t zone = 0; zone < config_.zone_names.size(); ++zone) {
     const std::string name = EscapeMetricName(config_.zone_names[zone]);
-    char part[32];
-    std::snprintf(part, sizeof part, "%g", zone < parts_.size() ? parts_[zone] : 1.0);
+    char share[32];
+    std::snprintf(share, sizeof share, "%g", zone < zone_shares_.size() ? zone_shares_[zone] : 1.0);
     if (watch_.verdicts().ByWord(static_cast<int>(zone))) out += "zone_by_word." + name + "=1\n";
     out += "zone." + name + "=" + sites::Name(watch_.verdicts().state(static_cast<int>(zone))) +
-           "\nzone_part." + name + "=" + part + "\n";
+           "\nzone_part." + name + "=" + share + "\n";
   }
   return out + "zones_cut_off=" + (watch_.verdicts().cut_off() ? "1" : "0") + "\n";
 }
--- a/src/sidecar/zone_watch.h
+++ b/src/sidecar/zone_watch.h
@@ -1,5 +1,5 @@
-// The sidecar's watch over whole zones, where its file has a plan: hands the watch (src/sites) what came of
-// calls, probes and the list, in its time, and carries out what it says. What zones are it does not know.
+// Detects the loss of whole zones if the configuration has a zone plan. Passes attempt results, probe results
+// and list changes with their times to sites::Watch, which decides, and applies its decisions.
 #ifndef UMBERDYKE_SIDECAR_ZONE_WATCH_H_
 #define UMBERDYKE_SIDECAR_ZONE_WATCH_H_
 
@@ -19,33 +19,36 @@
 class ZoneWatch {
  public:
   struct Owner {
-    std::function<void(const std::vector<double>& parts)> parts;  // of each zone, for the module
-    std::function<void(ServerId server)> probe;                   // `Probed` follows
+    // Receives the traffic share of each zone, for the decision module.
+    std::function<void(const std::vector<double>& shares)> on_zone_shares;
+    // Starts a probe; the owner reports its outcome through OnProbeResult.
+    std::function<void(ServerId server)> probe;
   };
-  // `config` has a plan.
+  // `config` must have a plan.
   ZoneWatch(Loop& loop, const Config& config, Counters& counters, log::Log& log, Owner owner);
 
-  void Listed(const ServerListEvent& change);
-  void Ended(ServerId server, Outcome outcome, Span took);
-  // Whether the module was told that the server's zone gets nothing.
-  bool Closed(ServerId server) const;
-  // What came of a check, whoever asked for it.
-  void Probed(ServerId server, Outcome outcome);
-  // The owner's word: why it cannot be used, or an empty text; and its use.
-  std::string Check(const std::string& text) const;
-  void Take(const std::string& text);
-  // "zone.NAME=lost", "zone_part.NAME=0" and "zones_cut_off=0", a line each.
-  std::string Lines() const;
+  void OnListChange(const ServerListEvent& change);
+  void OnAttemptEnd(ServerId server, Outcome outcome, Span elapsed);
+  // Whether the zone of the server has no share of the traffic.
+  bool IsBlocked(ServerId server) const;
+  // Called for every health check, whether this class or the decision module started it.
+  void OnProbeResult(ServerId server, Outcome outcome);
+  // Returns why an operator's directive cannot be used, or an empty string.
+  std::string CheckDirective(const std::string& text) const;
+  // Applies the directive; an invalid one is ignored.
+  void ApplyDirective(const std::string& text);
+  // The lines "zone.NAME=lost", "zone_part.NAME=0" and, once, "zones_cut_off=0".
+  std::string StatusLines() const;
 
  private:
-  void Turn();
+  void Update();
 
   const Config& config_;
   Counters& counters_;
   log::Log& log_;
   const Owner owner_;
   sites::Watch watch_;
-  std::vector<double> parts_;
+  std::vector<double> zone_shares_;  // by zone
   Timer timer_;
 };
 
--- a/tests/handover/handover_test.cpp
+++ b/tests/handover/handover_test.cpp
@@ -1,4 +1,4 @@
-// Replacing a process under load: real processes, one address, and whoever may stand in the way.
+// Tests of replacing a sidecar process under load, with real processes that share one address.
 #include <sys/socket.h>
 #include <sys/un.h>
 #include <unistd.h>
@@ -20,9 +20,9 @@
 
 namespace fs = std::filesystem;
 
-// A place with one server and discovery, in which sidecars are started as processes.
-struct Place {
-  Place() : server(loop), discovery(loop) {
+// A test cluster of one server and discovery, in which sidecars run as processes.
+struct HandoverCluster {
+  HandoverCluster() : server(loop), discovery(loop) {
     folder = fs::temp_directory_path() / ("umberdyke-handover-" + std::to_string(getpid()));
     fs::remove_all(folder);
     fs::create_directories(folder / "run");
@@ -35,15 +35,16 @@
       peer.Reply("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + (size + line) + "\r\n");
     };
   }
-  ~Place() {
+  ~HandoverCluster() {
     processes.clear();
     fs::remove_all(folder);
   }
   std::string listen() const { return host + ":8081"; }
   std::string console(int number) const { return host + ":" + std::to_string(9800 + number); }
 
-  // The next process of the sidecar; its number names its console.
-  int Start(const std::string& run = "run", const std::string& limits = "", const Site::Change& change = {}) {
+  // Starts the next process of the sidecar and returns its number, which selects its console address.
+  int Start(const std::string& run_folder = "run", const std::string& limits = "",
+            const Site::Change& change = {}) {
     const int number = static_cast<int>(processes.size());
     const std::string file = (folder / ("config" + std::to_string(number) + ".json")).string();
     std::string text =
@@ -51,43 +52,43 @@
     text.insert(1, "\"console\":\"" + console(number) + "\",");
     text.replace(text.find("127.0.0.1:0"), 11, listen());
     if (!limits.empty()) text.replace(text.find("{\"sockets\":1024}"), 16, limits);
-    // Between tiers nothing is turned away for the time it takes: here that is microseconds, and then a
-    // hiccup.
+    // In tier 1 no request is rejected for its expected duration. In this test it is microseconds, so one
+    // hiccup would cause rejections.
     text.replace(text.find("\"tier\":0"), 8, "\"tier\":1");
     if (change) change(&text);
     REQUIRE(files::WriteFileAtomically(file, text).empty());
     processes.push_back(std::make_unique<lab::Process>(
-        std::vector<std::string>{"/usr/bin/env", "TMPDIR=" + (folder / run).string(), UMBERDYKE_PROGRAM,
-                                 "--config", file},
+        std::vector<std::string>{"/usr/bin/env", "TMPDIR=" + (folder / run_folder).string(),
+                                 UMBERDYKE_PROGRAM, "--config", file},
         file + ".log"));
     return number;
   }
-  std::string Log(int number) const {  // empty until it has begun one
+  std::string Log(int number) const {  // empty until the process has written to it
     return files::ReadFile((folder / ("config" + std::to_string(number) + ".json.log")).string(), 1 << 20)
         .text;
   }
-  int Call(int number, const std::string& line, Span most = 1s) {
+  int CallConsole(int number, const std::string& line, Span timeout = 1s) {
     Client client(loop, *ParseAddress(console(number)));
     client.Send(line + " HTTP/1.1\r\n\r\n");
-    loop.RunUntil([&] { return !client.answers.empty() || client.ended; }, most);
+    loop.RunUntil([&] { return !client.answers.empty() || client.ended; }, timeout);
     return client.answers.empty() ? 0 : client.answers[0].status;
   }
-  bool Ready(int number, Span most = 6s) {
-    const Time until = Clock::now() + most;
+  bool WaitUntilReady(int number, Span timeout = 6s) {
+    const Time until = Clock::now() + timeout;
     while (Clock::now() < until) {
-      if (Call(number, "GET /v1/readyz", 200ms) == 200) return true;
+      if (CallConsole(number, "GET /v1/readyz", 200ms) == 200) return true;
       loop.RunUntil([] { return false; }, 10ms);
     }
     return false;
   }
-  int Ask() {
+  int SendRequest() {
     Client client(loop, *ParseAddress(listen()));
     const Time start = Clock::now();
     client.Send(Request());
     loop.RunUntil([&] { return !client.answers.empty() || client.ended; }, 3s);
     const int status = client.answers.empty() ? 0 : client.answers[0].status;
     if (status == 200) return status;
-    // Whoever looks at a failure wants to know which process it was, and what it had counted.
+    // For the failure message: make each process print its counters, and add all logs.
     for (const auto& process : processes) process->Tell(SIGUSR1);
     loop.RunUntil([] { return false; }, 200ms);
     for (size_t i = 0; i < processes.size(); ++i) UNSCOPED_INFO(Log(static_cast<int>(i)));
@@ -96,105 +97,107 @@
   }
   std::string Request() {
     std::string text = Look();
-    return text.replace(text.find("a1"), 2, "r" + std::to_string(++asked));
+    return text.replace(text.find("a1"), 2, "r" + std::to_string(++requests_made));
   }
-  std::optional<int> Ended(int number, Span most = 6s) {
+  std::optional<int> WaitForExit(int number, Span timeout = 6s) {
     std::optional<int> status;
     loop.RunUntil([&] { return (status = processes[static_cast<size_t>(number)]->Ended()).has_value(); },
-                  most);
+                  timeout);
     return status;
   }
-  void Tell(int number, int signal) { processes[static_cast<size_t>(number)]->Tell(signal); }
+  void SignalProcess(int number, int signal) { processes[static_cast<size_t>(number)]->Tell(signal); }
 
   Loop loop;
   Party server, discovery;
   fs::path folder;
   std::string host;
   std::vector<std::unique_ptr<lab::Process>> processes;
-  int asked = 0;
+  int requests_made = 0;
 };
 
-// Clients that keep their connections and open new ones, and count what becomes of every request.
+// Clients that reuse connections, open new ones, and count the result of every request.
 class Load {
  public:
-  Load(Place& place, int kept)
-      : place_(place), kept_(static_cast<size_t>(kept)), timer_(place.loop, [this] { Step(); }) {
+  Load(HandoverCluster& cluster, int client_count)
+      : cluster_(cluster),
+        client_count_(static_cast<size_t>(client_count)),
+        timer_(cluster.loop, [this] { Step(); }) {
     timer_.Start(2ms);
   }
   void Stop() { stopping_ = true; }
-  bool Quiet() const { return clients_.empty(); }
+  bool Finished() const { return clients_.empty(); }
   int answered = 0, lost = 0, other = 0, sent = 0;
 
  private:
-  struct One {
-    std::unique_ptr<Client> client;
-    size_t asked = 0;
-    size_t rounds = 0;
+  struct LoadClient {
+    std::unique_ptr<Client> connection;
+    size_t requests = 0;
+    size_t max_requests = 0;
   };
   void Step() {
     for (auto it = clients_.begin(); it != clients_.end();) {
-      One& one = *it;
-      const bool due = one.client->answers.size() == one.asked;
-      if (due && (one.client->ended || stopping_ || one.asked == one.rounds)) {
-        Count(one);
+      LoadClient& client = *it;
+      const bool answered_all = client.connection->answers.size() == client.requests;
+      if (answered_all && (client.connection->ended || stopping_ || client.requests == client.max_requests)) {
+        CountResponses(client);
         it = clients_.erase(it);
-      } else if (one.client->ended) {
-        Count(one);
-        ++lost;  // it was sent, and the connection ended without its answer
+      } else if (client.connection->ended) {
+        CountResponses(client);
+        ++lost;  // the connection ended without a response
         it = clients_.erase(it);
       } else {
-        if (due && one.client->answers.back().keep_alive) Ask(one);
+        if (answered_all && client.connection->answers.back().keep_alive) SendNext(client);
         ++it;
       }
     }
-    while (!stopping_ && clients_.size() < kept_) {
-      clients_.push_back({std::make_unique<Client>(place_.loop, *ParseAddress(place_.listen())), 0,
+    while (!stopping_ && clients_.size() < client_count_) {
+      clients_.push_back({std::make_unique<Client>(cluster_.loop, *ParseAddress(cluster_.listen())), 0,
                           sent % 3 == 0 ? size_t{1} : size_t{20}});
-      Ask(clients_.back());
+      SendNext(clients_.back());
     }
     timer_.Start(2ms);
   }
-  void Ask(One& one) {
-    one.client->Send(place_.Request());
-    ++one.asked;
+  void SendNext(LoadClient& client) {
+    client.connection->Send(cluster_.Request());
+    ++client.requests;
     ++sent;
   }
-  void Count(const One& one) {
-    for (const Message& answer : one.client->answers) ++(answer.status == 200 ? answered : other);
+  void CountResponses(const LoadClient& client) {
+    for (const Message& answer : client.connection->answers) ++(answer.status == 200 ? answered : other);
   }
-  Place& place_;
-  const size_t kept_;
+  HandoverCluster& cluster_;
+  const size_t client_count_;
   bool stopping_ = false;
-  std::vector<One> clients_;
+  std::vector<LoadClient> clients_;
   Timer timer_;
 };
 
-// Guards against a request that is lost at the door, or anywhere, while processes follow one another.
+// A request could be lost in the accept queue or elsewhere while processes replace each other.
 TEST_CASE("fifty replacements under load lose no request", "[handover]") {
-  Place place;
-  int serving = place.Start();
-  REQUIRE(place.Ready(serving));
-  Load load(place, 6);
+  HandoverCluster cluster;
+  int serving = cluster.Start();
+  REQUIRE(cluster.WaitUntilReady(serving));
+  Load load(cluster, 6);
   for (int i = 0; i < 50; ++i) {
-    const int next = place.Start();
-    REQUIRE(place.Ready(next));
-    place.Tell(serving, SIGTERM);
-    if (i % 10 == 9) CHECK(place.Ended(serving) == 0);
+    const int next = cluster.Start();
+    REQUIRE(cluster.WaitUntilReady(next));
+    cluster.SignalProcess(serving, SIGTERM);
+    if (i % 10 == 9) CHECK(cluster.WaitForExit(serving) == 0);
     serving = next;
-    place.loop.RunUntil([] { return false; }, 20ms);
+    cluster.loop.RunUntil([] { return false; }, 20ms);
   }
   load.Stop();
-  REQUIRE(place.loop.RunUntil([&] { return load.Quiet(); }, 6s));
+  REQUIRE(cluster.loop.RunUntil([&] { return load.Finished(); }, 6s));
   CHECK(load.lost == 0);
   CHECK(load.other == 0);
   CHECK(load.answered == load.sent);
   CHECK(load.sent > 500);
 
-  CHECK(place.Log(serving).find("takes over") != std::string::npos);
-  CHECK(place.Ask() == 200);
+  CHECK(cluster.Log(serving).find("takes over") != std::string::npos);
+  CHECK(cluster.SendRequest() == 200);
 }
 
-int Bound(const std::string& path) {
+int BindUnixSocket(const std::string& path) {
   const int fd = socket(AF_UNIX, SOCK_STREAM, 0);
   sockaddr_un address{};
   address.sun_family = AF_UNIX;
@@ -203,105 +206,107 @@
   return fd;
 }
 
-// Guards against a start that depends on what somebody left behind, or on who holds the address.
+// A start must not depend on leftovers at the socket path or on another program that listens there.
 TEST_CASE("whatever stands in the way leaves an ordinary start", "[handover]") {
-  Place place;
-  const std::string path = (place.folder / "run" / ("umberdyke-" + place.host + "-8081.sock")).string();
+  HandoverCluster cluster;
+  const std::string path = (cluster.folder / "run" / ("umberdyke-" + cluster.host + "-8081.sock")).string();
   SECTION("leftovers that are no socket") {
     REQUIRE(files::WriteFileAtomically(path, "left by somebody").empty());
   }
   SECTION("a folder under its name") { fs::create_directories(path + "/deep"); }
-  SECTION("no folder at all") { fs::remove_all(place.folder / "run"); }
-  SECTION("a socket that nobody listens on") { close(Bound(path)); }
+  SECTION("no folder at all") { fs::remove_all(cluster.folder / "run"); }
+  SECTION("a socket that nobody listens on") { close(BindUnixSocket(path)); }
   SECTION("somebody who takes the call and says nothing") {
-    const int fd = Bound(path);
+    const int fd = BindUnixSocket(path);
     REQUIRE(listen(fd, 4) == 0);
-    const int first = place.Start();
-    CHECK(place.Ready(first));
-    CHECK(place.Ask() == 200);
+    const int first = cluster.Start();
+    CHECK(cluster.WaitUntilReady(first));
+    CHECK(cluster.SendRequest() == 200);
     close(fd);
   }
-  const int next = place.Start();
-  CHECK(place.Ready(next));
-  CHECK(place.Ask() == 200);
-  place.Tell(next, SIGTERM);
-  CHECK(place.Ended(next) == 0);
+  const int next = cluster.Start();
+  CHECK(cluster.WaitUntilReady(next));
+  CHECK(cluster.SendRequest() == 200);
+  cluster.SignalProcess(next, SIGTERM);
+  CHECK(cluster.WaitForExit(next) == 0);
 }
 
-// Guards against an old process that is worn down by new ones which come to nothing.
+// New processes that fail before they serve must not use up resources of the old process.
 TEST_CASE("a new process that dies or hangs before it serves costs the old one nothing", "[handover]") {
-  Place place;
-  const int old = place.Start();
-  REQUIRE(place.Ready(old));
-  place.discovery.script = {};  // the next ones wait for their list, and are not ready for a while
+  HandoverCluster cluster;
+  const int old = cluster.Start();
+  REQUIRE(cluster.WaitUntilReady(old));
+  cluster.discovery.script = {};  // new processes wait for their list and are not ready for a while
   for (const int signal : {SIGKILL, SIGTERM, SIGSTOP}) {
-    const int next = place.Start();
-    REQUIRE(place.loop.RunUntil([&] { return place.Log(next).find("takes over") != std::string::npos; }, 3s));
-    CHECK(place.Call(next, "GET /v1/readyz") == 503);
-    place.Tell(next, signal);
-    for (int i = 0; i < 20; ++i) CHECK(place.Ask() == 200);
-    CHECK(place.Call(old, "GET /v1/readyz") == 200);
+    const int next = cluster.Start();
+    REQUIRE(
+        cluster.loop.RunUntil([&] { return cluster.Log(next).find("takes over") != std::string::npos; }, 3s));
+    CHECK(cluster.CallConsole(next, "GET /v1/readyz") == 503);
+    cluster.SignalProcess(next, signal);
+    for (int i = 0; i < 20; ++i) CHECK(cluster.SendRequest() == 200);
+    CHECK(cluster.CallConsole(old, "GET /v1/readyz") == 200);
   }
-  // And one that comes through all the same.
-  const int last = place.Start();
-  REQUIRE(place.Ready(last));
-  place.Tell(old, SIGTERM);
-  CHECK(place.Ended(old) == 0);
-  for (int i = 0; i < 10; ++i) CHECK(place.Ask() == 200);
+  // A later process still takes over.
+  const int last = cluster.Start();
+  REQUIRE(cluster.WaitUntilReady(last));
+  cluster.SignalProcess(old, SIGTERM);
+  CHECK(cluster.WaitForExit(old) == 0);
+  for (int i = 0; i < 10; ++i) CHECK(cluster.SendRequest() == 200);
 }
 
-// Guards against a queue that nobody empties once the old process was killed.
+// Without a takeover, clients would stay in the accept queue after the old process was killed.
 TEST_CASE("an old process that is killed or hangs leaves the clients to the new one", "[handover]") {
-  Place place;
-  const int old = place.Start();
-  REQUIRE(place.Ready(old));
+  HandoverCluster cluster;
+  const int old = cluster.Start();
+  REQUIRE(cluster.WaitUntilReady(old));
   SECTION("killed while the new one waits for its list") {
-    place.discovery.script = {};
-    const int next = place.Start();
-    REQUIRE(place.loop.RunUntil([&] { return place.Log(next).find("takes over") != std::string::npos; }, 3s));
-    place.Tell(old, SIGKILL);
-    for (int i = 0; i < 10; ++i) CHECK(place.Ask() == 200);
-    CHECK(place.Ready(next));
+    cluster.discovery.script = {};
+    const int next = cluster.Start();
+    REQUIRE(
+        cluster.loop.RunUntil([&] { return cluster.Log(next).find("takes over") != std::string::npos; }, 3s));
+    cluster.SignalProcess(old, SIGKILL);
+    for (int i = 0; i < 10; ++i) CHECK(cluster.SendRequest() == 200);
+    CHECK(cluster.WaitUntilReady(next));
   }
   SECTION("killed once the new one serves") {
-    const int next = place.Start();
-    REQUIRE(place.Ready(next));
-    place.Tell(old, SIGKILL);
-    for (int i = 0; i < 10; ++i) CHECK(place.Ask() == 200);
+    const int next = cluster.Start();
+    REQUIRE(cluster.WaitUntilReady(next));
+    cluster.SignalProcess(old, SIGKILL);
+    for (int i = 0; i < 10; ++i) CHECK(cluster.SendRequest() == 200);
   }
   SECTION("it answers nothing") {
-    place.Tell(old, SIGSTOP);
-    const int next = place.Start();
-    CHECK(place.Ready(next));
-    place.Tell(old, SIGKILL);
-    REQUIRE(place.Ended(old).has_value());
-    for (int i = 0; i < 10; ++i) CHECK(place.Ask() == 200);
+    cluster.SignalProcess(old, SIGSTOP);
+    const int next = cluster.Start();
+    CHECK(cluster.WaitUntilReady(next));
+    cluster.SignalProcess(old, SIGKILL);
+    REQUIRE(cluster.WaitForExit(old).has_value());
+    for (int i = 0; i < 10; ++i) CHECK(cluster.SendRequest() == 200);
   }
 }
 
-// Guards against a new process that ends because an earlier build holds the address for itself.
+// The new process must not exit because an earlier build holds the address exclusively.
 TEST_CASE("an address that another holds alone is taken once it is free", "[handover]") {
-  Place place;
-  auto holder = std::make_unique<Party>(place.loop, place.listen());
+  HandoverCluster cluster;
+  auto holder = std::make_unique<Party>(cluster.loop, cluster.listen());
   REQUIRE(holder->error.empty());
-  const int next = place.Start();
-  CHECK_FALSE(place.Ready(next, 500ms));
-  CHECK(place.Call(next, "GET /v1/readyz") == 503);
-  CHECK(place.Log(next).find("cannot listen yet") != std::string::npos);
+  const int next = cluster.Start();
+  CHECK_FALSE(cluster.WaitUntilReady(next, 500ms));
+  CHECK(cluster.CallConsole(next, "GET /v1/readyz") == 503);
+  CHECK(cluster.Log(next).find("cannot listen yet") != std::string::npos);
   holder.reset();
-  CHECK(place.Ready(next));
-  CHECK(place.Ask() == 200);
+  CHECK(cluster.WaitUntilReady(next));
+  CHECK(cluster.SendRequest() == 200);
 }
 
-// Guards against a list that grows old in either process because the other one was there.
+// The server list must stay current in each process while the other one runs.
 TEST_CASE("discovery may move while a process is replaced, and a drain may be under way", "[handover]") {
-  Place place;
-  const int old = place.Start();
-  REQUIRE(place.Ready(old));
-  CHECK(place.Call(old, "PUT /v1/sidecar/drain") == 200);
-  const int next = place.Start();
-  REQUIRE(place.Ready(next));  // the drain was the old one's
-  Party moved(place.loop), fresh(place.loop);
+  HandoverCluster cluster;
+  const int old = cluster.Start();
+  REQUIRE(cluster.WaitUntilReady(old));
+  CHECK(cluster.CallConsole(old, "PUT /v1/sidecar/drain") == 200);
+  const int next = cluster.Start();
+  REQUIRE(cluster.WaitUntilReady(next));  // the drain applied to the old process only
+  Party moved(cluster.loop), fresh(cluster.loop);
   fresh.script = [](Party::Peer& peer) { peer.Answer(200, "new"); };
   moved.script = [&](Party::Peer& peer) {
     const std::string line = ListText(9, true, {ServerLine("s2", fresh.address())}) + "\n";
@@ -310,52 +315,53 @@
     peer.Reply("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + (size + line) + "\r\n");
   };
   for (const int number : {old, next}) {
-    const std::string file = (place.folder / ("config" + std::to_string(number) + ".json")).string();
+    const std::string file = (cluster.folder / ("config" + std::to_string(number) + ".json")).string();
     const std::string text = config::TextOf(file);
-    REQUIRE(files::WriteFileAtomically(file, config::Edited(text, place.discovery.address(), moved.address()))
-                .empty());
-    place.Tell(number, SIGHUP);
+    REQUIRE(
+        files::WriteFileAtomically(file, config::Edited(text, cluster.discovery.address(), moved.address()))
+            .empty());
+    cluster.SignalProcess(number, SIGHUP);
   }
-  place.Tell(old, SIGTERM);
-  REQUIRE(place.loop.RunUntil([&] { return moved.requests >= 1; }, 5s));
-  place.loop.RunUntil([] { return false; }, 300ms);
-  for (int i = 0; i < 5; ++i) CHECK(place.Ask() == 200);
+  cluster.SignalProcess(old, SIGTERM);
+  REQUIRE(cluster.loop.RunUntil([&] { return moved.requests >= 1; }, 5s));
+  cluster.loop.RunUntil([] { return false; }, 300ms);
+  for (int i = 0; i < 5; ++i) CHECK(cluster.SendRequest() == 200);
   CHECK(fresh.requests >= 5);
-  CHECK(place.Ended(old) == 0);
-  CHECK(place.Ask() == 200);
+  CHECK(cluster.WaitForExit(old) == 0);
+  CHECK(cluster.SendRequest() == 200);
 }
 
-// Guards against memory that grows with long bodies, and a console that waits for them: many at once in both
-// directions, with readers and writers that stop, under half of the usual limits.
+// Memory must not grow with streaming bodies, and the console must not wait for them. Many run at once in
+// both directions, with readers and writers that stall, under half of the usual limits.
 TEST_CASE("long bodies stay within half of the limits, and the console answers beside them", "[handover]") {
-  Place place;
+  HandoverCluster cluster;
   const std::string body(3'000'000, 'x');
-  place.server.script = [&](Party::Peer& peer) { peer.Answer(200, body); };
-  const int sidecar = place.Start("run", R"({"sockets":192,"memory_mb":24})");
-  REQUIRE(place.Ready(sidecar));
+  cluster.server.script = [&](Party::Peer& peer) { peer.Answer(200, body); };
+  const int sidecar = cluster.Start("run", R"({"sockets":192,"memory_mb":24})");
+  REQUIRE(cluster.WaitUntilReady(sidecar));
   std::vector<std::unique_ptr<Client>> readers, writers, silent;
-  for (int i = 0; i < 30; ++i) {  // they take the head and no more, for now
-    readers.push_back(std::make_unique<Client>(place.loop, *ParseAddress(place.listen())));
-    readers.back()->Send(place.Request());
-    REQUIRE(place.loop.RunUntil([&] { return readers.back()->up; }, 3s));
+  for (int i = 0; i < 30; ++i) {  // they read the response head and then pause
+    readers.push_back(std::make_unique<Client>(cluster.loop, *ParseAddress(cluster.listen())));
+    readers.back()->Send(cluster.Request());
+    REQUIRE(cluster.loop.RunUntil([&] { return readers.back()->up; }, 3s));
     readers.back()->stream.Pause();
   }
   for (int i = 0; i < 20; ++i) {
     std::string head = Hand();
     head.replace(head.find("b2"), 2, "w" + std::to_string(i));
     head.replace(head.find("Content-Length: 4"), 17, "Content-Length: 3000000");
-    writers.push_back(std::make_unique<Client>(place.loop, *ParseAddress(place.listen())));
+    writers.push_back(std::make_unique<Client>(cluster.loop, *ParseAddress(cluster.listen())));
     writers.back()->Send(head + std::string(1'000'000, 'y'));
   }
   Span longest{};
   for (int i = 0; i < 60; ++i) {
-    silent.push_back(std::make_unique<Client>(place.loop, *ParseAddress(place.console(sidecar))));
+    silent.push_back(std::make_unique<Client>(cluster.loop, *ParseAddress(cluster.console(sidecar))));
     const Time start = Clock::now();
-    CHECK(place.Call(sidecar, "GET /v1/metrics") == 200);
+    CHECK(cluster.CallConsole(sidecar, "GET /v1/metrics") == 200);
     longest = std::max(longest, Clock::now() - start);
   }
-  const double peak = place.processes[0]->PeakMb();
-  const int descriptors = place.processes[0]->Descriptors();
+  const double peak = cluster.processes[0]->PeakMb();
+  const int descriptors = cluster.processes[0]->Descriptors();
   std::printf("long bodies: 50 at once, peak %.1f MB, %d descriptors, longest call %.1f ms\n", peak,
               descriptors, std::chrono::duration<double, std::milli>(longest).count());
   CHECK(longest < 1s);
@@ -366,84 +372,86 @@
 #endif
 }
 
-// Guards those that wait for a place at the old process: none of them may be closed on with it.
+// Clients that wait for a free connection at the old process must not be closed when it exits.
 TEST_CASE("clients that wait behind the old process's limit are answered by the new one", "[handover]") {
-  Place place;
+  HandoverCluster cluster;
   std::vector<Party::Peer*> held;
-  place.server.script = [&](Party::Peer& peer) { held.push_back(&peer); };
-  const int old = place.Start("run", R"({"sockets":64})");  // sixteen clients at once
-  REQUIRE(place.Ready(old));
+  cluster.server.script = [&](Party::Peer& peer) { held.push_back(&peer); };
+  const int old = cluster.Start("run", R"({"sockets":64})");  // sixteen clients at a time
+  REQUIRE(cluster.WaitUntilReady(old));
   std::vector<std::unique_ptr<Client>> clients;
-  const auto ask = [&] {
-    clients.push_back(std::make_unique<Client>(place.loop, *ParseAddress(place.listen())));
-    clients.back()->Send(place.Request());
+  const auto send_request = [&] {
+    clients.push_back(std::make_unique<Client>(cluster.loop, *ParseAddress(cluster.listen())));
+    clients.back()->Send(cluster.Request());
   };
-  for (int i = 0; i < 16; ++i) ask();
-  REQUIRE(place.loop.RunUntil([&] { return held.size() == 16; }, 6s));
-  place.server.script = [](Party::Peer& peer) { peer.Answer(200, "ok"); };
-  for (int i = 0; i < 3; ++i) ask();
-  REQUIRE(place.loop.RunUntil([&] { return clients.back()->up; }, 3s));
-  place.loop.RunUntil([] { return false; }, 100ms);  // for a process that would take them early
-  const int next = place.Start("run", R"({"sockets":64})");
-  REQUIRE(place.Ready(next));
-  place.Tell(old, SIGTERM);
-  REQUIRE(place.loop.RunUntil([&] { return place.Log(old).find("told to end") != std::string::npos; }, 3s));
+  for (int i = 0; i < 16; ++i) send_request();
+  REQUIRE(cluster.loop.RunUntil([&] { return held.size() == 16; }, 6s));
+  cluster.server.script = [](Party::Peer& peer) { peer.Answer(200, "ok"); };
+  for (int i = 0; i < 3; ++i) send_request();
+  REQUIRE(cluster.loop.RunUntil([&] { return clients.back()->up; }, 3s));
+  cluster.loop.RunUntil([] { return false; }, 100ms);  // time for a process that would accept them too early
+  const int next = cluster.Start("run", R"({"sockets":64})");
+  REQUIRE(cluster.WaitUntilReady(next));
+  cluster.SignalProcess(old, SIGTERM);
+  REQUIRE(cluster.loop.RunUntil(
+      [&] { return cluster.Log(old).find("is shutting down") != std::string::npos; }, 3s));
   for (Party::Peer* peer : held) peer->Answer(200, "ok");
-  CHECK(place.loop.RunUntil(
+  CHECK(cluster.loop.RunUntil(
       [&] {
         return std::all_of(clients.begin(), clients.end(), [](const auto& c) { return !c->answers.empty(); });
       },
       3s));
-  CHECK(place.Ended(old) == 0);
+  CHECK(cluster.WaitForExit(old) == 0);
 }
 
-// Guards one customer's settings from another's: what the old process has is the old settings' to the end.
+// Settings must not mix: requests held by the old process use the old settings until it exits.
 TEST_CASE("each of two processes goes by its own classes and tenants", "[handover]") {
-  Place place;
+  HandoverCluster cluster;
   Party::Peer* held = nullptr;
-  place.server.script = [&](Party::Peer& peer) { held = &peer; };
-  const int old = place.Start();
-  REQUIRE(place.Ready(old));
-  Client before(place.loop, *ParseAddress(place.listen()));
-  before.Send(place.Request());
-  REQUIRE(place.loop.RunUntil([&] { return held != nullptr; }, 3s));
-  place.server.script = [](Party::Peer& peer) { peer.Answer(200, "ok"); };
+  cluster.server.script = [&](Party::Peer& peer) { held = &peer; };
+  const int old = cluster.Start();
+  REQUIRE(cluster.WaitUntilReady(old));
+  Client before(cluster.loop, *ParseAddress(cluster.listen()));
+  before.Send(cluster.Request());
+  REQUIRE(cluster.loop.RunUntil([&] { return held != nullptr; }, 3s));
+  cluster.server.script = [](Party::Peer& peer) { peer.Answer(200, "ok"); };
   const auto other = [](const std::string& text) {
     return Replaced(Replaced(text, "look", "peek"), "acme", "bolt");
   };
-  const int next = place.Start("run", "", [&](std::string* text) { *text = other(*text); });
-  REQUIRE(place.Ready(next));
-  place.Tell(old, SIGTERM);
-  REQUIRE(place.loop.RunUntil([&] { return place.Log(old).find("told to end") != std::string::npos; }, 3s));
+  const int next = cluster.Start("run", "", [&](std::string* text) { *text = other(*text); });
+  REQUIRE(cluster.WaitUntilReady(next));
+  cluster.SignalProcess(old, SIGTERM);
+  REQUIRE(cluster.loop.RunUntil(
+      [&] { return cluster.Log(old).find("is shutting down") != std::string::npos; }, 3s));
   const auto status = [&](const std::string& request) {
-    Client client(place.loop, *ParseAddress(place.listen()));
+    Client client(cluster.loop, *ParseAddress(cluster.listen()));
     client.Send(request);
-    place.loop.RunUntil([&] { return !client.answers.empty() || client.ended; }, 3s);
+    cluster.loop.RunUntil([&] { return !client.answers.empty() || client.ended; }, 3s);
     return client.answers.empty() ? 0 : client.answers[0].status;
   };
-  CHECK(status(other(place.Request())) == 200);
-  CHECK(status(place.Request()) == 400);
-  CHECK(status(Replaced(place.Request(), "look", "peek")) == 400);
+  CHECK(status(other(cluster.Request())) == 200);
+  CHECK(status(cluster.Request()) == 400);
+  CHECK(status(Replaced(cluster.Request(), "look", "peek")) == 400);
   held->Answer(200, "late");
-  CHECK(place.loop.RunUntil([&] { return !before.answers.empty(); }, 3s));
+  CHECK(cluster.loop.RunUntil([&] { return !before.answers.empty(); }, 3s));
   CHECK(before.answers.at(0).body == "late");
-  CHECK(place.Ended(old) == 0);
+  CHECK(cluster.WaitForExit(old) == 0);
 }
 
-// Guards against two processes that together hold more than one sidecar may.
+// Two processes together must not hold more descriptors than one sidecar may.
 TEST_CASE("two processes share a sidecar's descriptors and say who serves", "[handover]") {
-  Place place;
-  const int old = place.Start();
-  REQUIRE(place.Ready(old));
-  const int next = place.Start();
-  REQUIRE(place.Ready(next));
-  REQUIRE(place.loop.RunUntil(
-      [&] { return place.Log(old).find("shares its limits with another") != std::string::npos; }, 3s));
-  CHECK(place.Log(next).find("shares its limits with another") != std::string::npos);
-  place.Tell(old, SIGTERM);
-  CHECK(place.Ended(old) == 0);
-  CHECK(place.loop.RunUntil([&] { return place.Log(next).find("its limits to itself") != std::string::npos; },
-                            3s));
+  HandoverCluster cluster;
+  const int old = cluster.Start();
+  REQUIRE(cluster.WaitUntilReady(old));
+  const int next = cluster.Start();
+  REQUIRE(cluster.WaitUntilReady(next));
+  REQUIRE(cluster.loop.RunUntil(
+      [&] { return cluster.Log(old).find("shares its limits with another") != std::string::npos; }, 3s));
+  CHECK(cluster.Log(next).find("shares its limits with another") != std::string::npos);
+  cluster.SignalProcess(old, SIGTERM);
+  CHECK(cluster.WaitForExit(old) == 0);
+  CHECK(cluster.loop.RunUntil(
+      [&] { return cluster.Log(next).find("its limits to itself") != std::string::npos; }, 3s));
 }
 
 }  // namespace
