--- a/tests/passing/passing_test.cpp
+++ b/tests/passing/passing_test.cpp
@@ -1,5 +1,5 @@
-// Long bodies and answers on real sockets: whole, in any framing and pace, with bounded memory, and what
-// becomes of those that break off.
+// Tests of streaming request and response bodies on real sockets: integrity in any framing and pace, bounded
+// memory, and bodies that are cut off.
 #include <catch2/catch.hpp>
 #include <set>
 
@@ -16,44 +16,44 @@
 }
 
 std::string Chunked(const std::string& body, size_t piece) {
-  std::string out;
+  std::string chunks;
   char size[16];
   for (size_t at = 0; at < body.size(); at += piece) {
     const std::string part = body.substr(at, piece);
     std::snprintf(size, sizeof size, "%zx;e=1\r\n", part.size());
-    out += size + part + "\r\n";
+    chunks += size + part + "\r\n";
   }
-  return out + "0\r\nX-Trailer: t\r\n\r\n";
+  return chunks + "0\r\nX-Trailer: t\r\n\r\n";
 }
 
-std::string LongHand(const std::string& framing, const std::string& more = "") {
+std::string StreamingHandRequest(const std::string& framing, const std::string& extra_headers = "") {
   return "POST /api HTTP/1.1\r\nHost: s\r\nX-Request-ID: big\r\nX-Priority-Class: hand\r\nX-Tenant-Id: "
          "acme\r\n"
          "X-Timeout-Ms: 4000\r\nIdempotency-Key: k\r\n" +
-         more + framing + "\r\n\r\n";
+         extra_headers + framing + "\r\n\r\n";
 }
 
-// A peer that reads raw bytes, at its own pace, and lets the test look at them.
-class Raw : public StreamCallbacks {
+// A client that stores the raw bytes that it reads, at a pace the test controls.
+class RawClient : public StreamCallbacks {
  public:
-  Raw(Loop& loop, const Address& to) : stream(loop, this) { stream.Connect(to); }
+  RawClient(Loop& loop, const Address& to) : stream(loop, this) { stream.Connect(to); }
   void OnConnected(bool) override {
     stream.Read();
-    if (!early.empty()) stream.Write(early);
+    if (!request_on_connect.empty()) stream.Write(request_on_connect);
     up = true;
   }
-  void OnData(std::string_view bytes) override { got.append(bytes); }
+  void OnData(std::string_view bytes) override { received.append(bytes); }
   void OnEnd() override { ended = true; }
   Stream stream;
-  std::string early, got;
+  std::string request_on_connect, received;
   bool up = false;
   bool ended = false;
 };
 
-// A server that reads a request of any length and answers with the body's size.
-class Sink : public StreamCallbacks {
+// A server that reads a streaming request and responds with the size of its body.
+class StreamingServer : public StreamCallbacks {
  public:
-  explicit Sink(Loop& loop) : loop_(loop), listener_(loop, [this] { Come(); }) {
+  explicit StreamingServer(Loop& loop) : loop_(loop), listener_(loop, [this] { OnConnection(); }) {
     listener_.Listen(*ParseAddress("127.0.0.1:0"));
   }
   std::string address() const { return PrintAddress(listener_.address()); }
@@ -64,7 +64,7 @@
       bytes.remove_prefix(used);
       if (parsed != ParseResult::kComplete) break;
       heads.push_back(parser.Take());
-      if (answer) peer->Write(WriteResponse(200, {}, std::to_string(body.size()), true));
+      if (respond) peer->Write(WriteResponse(200, {}, std::to_string(body.size()), true));
     }
   }
   void OnEnd() override { ended = true; }
@@ -73,33 +73,33 @@
   ParseResult parsed = ParseResult::kIncomplete;
   std::string body;
   std::vector<Message> heads;
-  bool answer = true;
+  bool respond = true;
   bool ended = false;
-  bool read = true;
+  bool read_on_accept = true;
   int connections = 0;
 
  private:
-  void Come() {
+  void OnConnection() {
     ++connections;
     parser.StreamBodyTo([this](std::string_view piece) { body.append(piece); });
     peer = std::make_unique<Stream>(loop_, this);
     peer->Accept(listener_);
-    if (read) peer->Read();
+    if (read_on_accept) peer->Read();
   }
   Loop& loop_;
   Listener listener_;
 };
 
-struct SinkSite : Site {
-  SinkSite() : Site(1), sink(loop) {
+struct StreamingSite : Site {
+  StreamingSite() : Site(1), sink(loop) {
     REQUIRE(Until([&] { return watch != nullptr; }));
     Tell(ListText(2, true, {ServerLine("sink", sink.address())}));
     REQUIRE(Until([&] { return sidecar->counters().Of("discovery_changes") == 1; }));
   }
-  Sink sink;
+  StreamingServer sink;
 };
 
-// Guards against a body that is cut, doubled or refused for its length, however it is framed.
+// A body could be truncated, duplicated or rejected for its length, in any framing.
 TEST_CASE("a long body reaches its server whole, by length or in chunks, also when asked for first",
           "[passing]") {
   const std::string body = Pattern(3'000'000);
@@ -111,9 +111,9 @@
   };
   for (const auto& [framing, bytes, more] : cases) {
     INFO(framing << more);
-    SinkSite site;
+    StreamingSite site;
     const auto client = site.Connect();
-    client->Send(LongHand(framing, more));
+    client->Send(StreamingHandRequest(framing, more));
     REQUIRE(site.Until([&] { return client->up; }));
     client->Send(bytes);
     REQUIRE(site.Until([&] { return !client->answers.empty() || client->ended; }));
@@ -125,23 +125,23 @@
     REQUIRE(site.sink.heads.size() == 1);
     CHECK(*site.sink.heads[0].Find("Idempotency-Key") == "k");
     CHECK(site.sink.heads[0].Find("X-Trailer") == nullptr);
-    client->Send(Look());  // the connection is good for another
+    client->Send(Look());  // the connection can be reused
     REQUIRE(site.Until([&] { return client->answers.size() == 2; }));
   }
 }
 
-// Guards against memory that grows with what a server does not read, and against a client that is cut for it.
+// Memory must not grow with what a server does not read, and the client must not be disconnected for it.
 TEST_CASE("a server that does not read stops the client, and not for good", "[passing]") {
-  SinkSite site;
-  site.sink.read = false;
+  StreamingSite site;
+  site.sink.read_on_accept = false;
   const std::string body = Pattern(12'000'000);
   const auto client = site.Connect();
-  client->Send(LongHand("Content-Length: 12000000"));
+  client->Send(StreamingHandRequest("Content-Length: 12000000"));
   REQUIRE(site.Until([&] { return client->up; }));
   client->Send(body);
   site.loop.RunUntil([] { return false; }, 400ms);
-  const size_t waits = client->stream.unwritten();
-  CHECK(waits > 0);  // in the client still, as kernel and windows are full
+  const size_t unsent = client->stream.unwritten();
+  CHECK(unsent > 0);  // still in the client, as kernel buffers and windows are full
   CHECK(client->answers.empty());
   site.sink.peer->Read();
   REQUIRE(site.Until([&] { return !client->answers.empty(); }));
@@ -149,12 +149,12 @@
   CHECK(site.sink.body == body);
 }
 
-// Guards against repeating what is not kept any more.
+// A request whose body data is no longer buffered must not be retried.
 TEST_CASE("once a piece of its body has left, a request is not sent again", "[passing]") {
   Site site(3);
-  // Parties read whole messages only: a long one never comes whole before the connection is cut.
+  // Test peers handle complete messages only: this request never completes before the connection is closed.
   const auto client = site.Connect();
-  client->Send(LongHand("Content-Length: 1000000"));
+  client->Send(StreamingHandRequest("Content-Length: 1000000"));
   REQUIRE(site.Until([&] { return client->up; }));
   client->Send(std::string(300'000, 'x'));
   const auto peer = [&]() -> Party::Peer* {
@@ -167,33 +167,33 @@
   site.loop.RunUntil([] { return false; }, 100ms);
   peer()->stream.Close();
   REQUIRE(site.Until([&] { return !client->answers.empty(); }));
-  CHECK(client->answers[0].status == 503);  // it never ran: to ask again is harmless
+  CHECK(client->answers[0].status == 503);  // it never ran, so a retry by the client is harmless
   CHECK_FALSE(client->answers[0].keep_alive);
   CHECK(site.sidecar->counters().Of("attempts_sent") == 1);
 }
 
-// Guards against passing on as whole what is no body, and against an attempt that outlives its request.
+// A malformed body must not be forwarded as complete, and an attempt must not outlive its request.
 TEST_CASE("a long body that turns bad, or whose client leaves, ends its attempt unfinished", "[passing]") {
-  for (const bool leaves : {false, true}) {
-    INFO(leaves);
-    SinkSite site;
+  for (const bool client_leaves : {false, true}) {
+    INFO(client_leaves);
+    StreamingSite site;
     const auto client = site.Connect();
-    client->Send(LongHand("Transfer-Encoding: chunked"));
+    client->Send(StreamingHandRequest("Transfer-Encoding: chunked"));
     REQUIRE(site.Until([&] { return client->up; }));
-    std::string good = Chunked(std::string(200'000, 'x'), 10'000);
-    good.resize(good.find("0\r\nX-Trailer"));
-    client->Send(good);
+    std::string valid_part = Chunked(std::string(200'000, 'x'), 10'000);
+    valid_part.resize(valid_part.find("0\r\nX-Trailer"));
+    client->Send(valid_part);
     REQUIRE(site.Until([&] { return site.sink.body.size() > 100'000; }));
-    if (leaves) {
+    if (client_leaves) {
       client->stream.Close();
     } else {
       client->Send("zz\r\nno chunk\r\n0\r\n\r\n" + Look());
       REQUIRE(site.Until([&] { return client->ended; }));
-      REQUIRE(client->answers.size() == 1);  // and what follows is no request
+      REQUIRE(client->answers.size() == 1);  // the bytes that follow are not read as a request
       CHECK(client->answers[0].status == 400);
     }
     REQUIRE(site.Until([&] { return site.sink.ended; }));
-    CHECK(site.sink.heads.empty());  // the server never saw an end of it
+    CHECK(site.sink.heads.empty());  // the server never saw the end of the body
     CHECK(site.sink.connections == 1);
     CHECK(site.sidecar->counters().Of("attempts_sent") == 1);
     CHECK(site.sidecar->counters().Of("invariant_broken") == 0);
@@ -201,11 +201,11 @@
   }
 }
 
-// Guards against waiting for the whole of a body whose server has refused it.
+// The sidecar must not wait for the rest of a body that the server has rejected.
 TEST_CASE("an answer that comes before the body is whole ends the request", "[passing]") {
-  SinkSite site;
+  StreamingSite site;
   const auto client = site.Connect();
-  client->Send(LongHand("Content-Length: 10000000"));
+  client->Send(StreamingHandRequest("Content-Length: 10000000"));
   REQUIRE(site.Until([&] { return client->up; }));
   client->Send(std::string(200'000, 'x'));
   REQUIRE(site.Until([&] { return site.sink.body.size() > 100'000; }));
@@ -215,14 +215,14 @@
   CHECK(site.Until([&] { return site.sink.ended; }));
 }
 
-// Guards against a slow client that is taken for a silent one, and against a silent one that is waited for.
+// A slow client must not be timed out as a stalled one, and a stalled one must not be waited for.
 TEST_CASE("a slow body is waited for, a silent one is not", "[passing]") {
-  SinkSite site;
+  StreamingSite site;
   const auto slow = site.Connect();
-  slow->Send(LongHand("Content-Length: 80000"));
+  slow->Send(StreamingHandRequest("Content-Length: 80000"));
   REQUIRE(site.Until([&] { return slow->up; }));
   const Time start = Clock::now();
-  for (int i = 0; i < 40; ++i) {  // 64 kB a second for longer than a head may take
+  for (int i = 0; i < 40; ++i) {  // 64 kB/s for longer than the timeout of a request head
     slow->Send(std::string(2'000, 'x'));
     site.loop.RunUntil([] { return false; }, 70ms);
   }
@@ -231,7 +231,7 @@
   REQUIRE(slow->answers.size() == 1);
   CHECK(slow->answers[0].status == 200);
 
-  std::string other = LongHand("Content-Length: 80000");
+  std::string other = StreamingHandRequest("Content-Length: 80000");
   other.replace(other.find("big"), 3, "sil");
   const auto silent = site.Connect();
   const Time asked = Clock::now();
@@ -242,7 +242,7 @@
   CHECK(site.sidecar->counters().Of("requests_slow") == 1);
 }
 
-// Guards against an answer that is cut, held back, or taken for another's, however it is framed.
+// A response could be truncated, delayed or sent to another request's client, in any framing.
 TEST_CASE("a long answer reaches its client whole in every framing, and at once", "[passing]") {
   const std::string body = Pattern(3'000'000);
   const std::vector<std::string> answers = {
@@ -261,22 +261,23 @@
       });
       std::string request = Look();
       if (old_client) request.replace(request.find("HTTP/1.1"), 8, "HTTP/1.0");
-      Raw client(site.loop, site.sidecar->address());
-      client.early = request;
+      RawClient client(site.loop, site.sidecar->address());
+      client.request_on_connect = request;
       HttpParser parser(HttpParser::Kind::kResponse);
-      std::string got;
-      parser.StreamBodyTo([&](std::string_view piece) { got.append(piece); });
+      std::string received;
+      parser.StreamBodyTo([&](std::string_view piece) { received.append(piece); });
       size_t fed = 0;
       ParseResult parsed = ParseResult::kIncomplete;
       REQUIRE(site.Until([&] {
         size_t used = 0;
-        if (fed < client.got.size()) parsed = parser.Feed(std::string_view(client.got).substr(fed), &used);
+        if (fed < client.received.size())
+          parsed = parser.Feed(std::string_view(client.received).substr(fed), &used);
         fed += used;
         if (client.ended && parsed == ParseResult::kIncomplete) parsed = parser.FeedEnd();
         return parsed != ParseResult::kIncomplete;
       }));
       CHECK(parsed == ParseResult::kComplete);
-      CHECK(got == body);
+      CHECK(received == body);
       CHECK(parser.message().Find("X-Lot") != nullptr);
       CHECK(site.sidecar->counters().Of("flows_served") == 1);
       if (i < 2) CHECK(site.sidecar->counters().Of("invariant_broken") == 0);
@@ -284,24 +285,24 @@
   }
 }
 
-// Guards against memory that grows with what a client does not read, and against losing the rest for it.
+// Memory must not grow with what a client does not read, and the rest of the response must not be lost.
 TEST_CASE("a client that does not read stops the server, and gets the rest when it does", "[passing]") {
   Site site(1);
   const std::string body = Pattern(16'000'000);
   site.Script(
       [&](Party::Peer& peer) { peer.Reply("HTTP/1.1 200 OK\r\nContent-Length: 16000000\r\n\r\n" + body); });
-  Raw client(site.loop, site.sidecar->address());
-  client.early = Look();
-  REQUIRE(site.Until([&] { return !client.got.empty(); }));
+  RawClient client(site.loop, site.sidecar->address());
+  client.request_on_connect = Look();
+  REQUIRE(site.Until([&] { return !client.received.empty(); }));
   client.stream.Pause();
   site.loop.RunUntil([] { return false; }, 600ms);
   CHECK(site.real[0]->peers[0]->stream.unwritten() > 0);
   client.stream.Read();
-  REQUIRE(site.Until([&] { return client.got.size() > body.size(); }));
-  CHECK(client.got.substr(client.got.size() - body.size()) == body);
+  REQUIRE(site.Until([&] { return client.received.size() > body.size(); }));
+  CHECK(client.received.substr(client.received.size() - body.size()) == body);
 }
 
-// Guards against an answer that looks whole and is not.
+// A truncated response must not look complete to the client.
 TEST_CASE("a long answer that breaks off is seen to be broken", "[passing]") {
   const std::vector<std::string> starts = {
       "HTTP/1.1 200 OK\r\nContent-Length: 3000000\r\n\r\n",
@@ -314,18 +315,18 @@
       peer.Reply(start + std::string(500'000, 'x'));
       peer.stream.EndSending();
     });
-    Raw client(site.loop, site.sidecar->address());
-    client.early = Hand();
+    RawClient client(site.loop, site.sidecar->address());
+    client.request_on_connect = Hand();
     REQUIRE(site.Until([&] { return client.ended; }));
-    CHECK(client.got.size() < 3'000'000);
-    CHECK(client.got.find("\r\n0\r\n") == std::string::npos);
+    CHECK(client.received.size() < 3'000'000);
+    CHECK(client.received.find("\r\n0\r\n") == std::string::npos);
     CHECK(site.Requests() == 1);
     CHECK(site.sidecar->counters().Of("flows_broken") == 1);
     CHECK(site.Ask("GET /-/ready HTTP/1.1\r\n\r\n").status == 200);
   }
 }
 
-// Guards against holding back the beginning of an answer whose end is a while off.
+// The start of a response must not be held back until its end arrives.
 TEST_CASE("an answer of unknown length is passed on soon, in pieces of one byte", "[passing]") {
   Site site(1);
   Party::Peer* server = nullptr;
@@ -333,19 +334,19 @@
     server = &peer;
     peer.Reply("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\r\na\r\n");
   });
-  Raw client(site.loop, site.sidecar->address());
-  client.early = Look();
+  RawClient client(site.loop, site.sidecar->address());
+  client.request_on_connect = Look();
   const Time start = Clock::now();
-  REQUIRE(site.Until([&] { return client.got.find("\r\n\r\n1\r\na\r\n") != std::string::npos; }));
+  REQUIRE(site.Until([&] { return client.received.find("\r\n\r\n1\r\na\r\n") != std::string::npos; }));
   CHECK(Clock::now() - start < 1s);
   for (const char c : std::string("1\r\nb\r\n0\r\n\r\n")) {
     server->Reply(std::string(1, c));
     site.loop.RunUntil([] { return false; }, 5ms);
   }
-  CHECK(site.Until([&] { return client.got.find("1\r\nb\r\n0\r\n\r\n") != std::string::npos; }));
+  CHECK(site.Until([&] { return client.received.find("1\r\nb\r\n0\r\n\r\n") != std::string::npos; }));
 }
 
-// Guards against windows that together hold more than they may.
+// The windows of all transfers together must stay within their share of the memory.
 TEST_CASE("the windows of all transfers hold a quarter of the memory, half of that where it is shared",
           "[passing]") {
   StreamingBufferLimit limit(24 << 20);
