--- a/src/platform/console_calls.cpp
+++ b/src/platform/console_calls.cpp
@@ -44,15 +44,15 @@
   const std::string* application = message.Find(kApplicationHeader);
   const std::string* life = message.Find(kLifeHeader);
   if (application == nullptr || application->empty() || application->size() > kMaxIdBytes) {
-    return ConsoleError{400, "the X-Fleet-Application header is missing or too long", ""};
+    return ConsoleError{400, "an order names its application", ""};
   }
   if (life == nullptr || life->empty() || life->size() > kMaxIdBytes) {
-    return ConsoleError{400, "the X-Fleet-Life header is missing or too long", ""};
+    return ConsoleError{400, "an order names the life that it is for", ""};
   }
   const auto term = ParsePositive(message.Find(kTermHeader)), step = ParsePositive(message.Find(kStepHeader));
-  if (!term) return ConsoleError{400, "the X-Fleet-Term header is not a positive integer", ""};
-  if (!step) return ConsoleError{400, "the X-Fleet-Step header is not a positive integer", ""};
-  if (message.body.size() > kMaxNoteBytes) return ConsoleError{413, "the order body is too long", ""};
+  if (!term) return ConsoleError{400, "an order has a term, a whole number above zero", ""};
+  if (!step) return ConsoleError{400, "an order has a step, a whole number above zero", ""};
+  if (message.body.size() > kMaxNoteBytes) return ConsoleError{413, "the order is too long", ""};
   order.application = *application;
   order.life = *life;
   order.term = *term;
@@ -92,24 +92,23 @@
   for (const Endpoint& endpoint : kEndpoints) {
     if (path != endpoint.path) continue;
     if (message.method == endpoint.method) return endpoint.id;
-    return ConsoleError{405, "this path only accepts " + std::string(endpoint.method),
-                        std::string(endpoint.method)};
+    return ConsoleError{405, "this path takes " + std::string(endpoint.method), std::string(endpoint.method)};
   }
   if (path == kEndPath) {
-    if (message.method != "PUT") return ConsoleError{405, "this path only accepts PUT", "PUT"};
+    if (message.method != "PUT") return ConsoleError{405, "this path takes PUT", "PUT"};
     const std::string* life = message.Find(kLifeHeader);
-    if (life == nullptr || life->empty()) return ConsoleError{400, "the X-Fleet-Life header is missing", ""};
+    if (life == nullptr || life->empty()) return ConsoleError{400, "who is to end is named by its life", ""};
     return EndProcess{*life};
   }
   if (path.starts_with(kOrdersPath) && path.size() - kOrdersPath.size() <= kMaxIdBytes) {
-    if (message.method != "PUT") return ConsoleError{405, "this path only accepts PUT", "PUT"};
+    if (message.method != "PUT") return ConsoleError{405, "this path takes PUT", "PUT"};
     return ParseOrder(message, path.substr(kOrdersPath.size()));
   }
   if (path.starts_with(kNotesPath) && path.size() - kNotesPath.size() <= kMaxIdBytes) {
-    if (message.method != "GET") return ConsoleError{405, "this path only accepts GET", "GET"};
+    if (message.method != "GET") return ConsoleError{405, "this path takes GET", "GET"};
     return FleetNoteRequest{std::string(path.substr(kNotesPath.size()))};
   }
-  return ConsoleError{404, "path not found", ""};
+  return ConsoleError{404, "no such path", ""};
 }
 
 std::string OrderRequest(const FleetOrder& order) {
@@ -151,9 +150,9 @@
     case ParseResult::kBodyTooLong:
       return {413, "the body is too long", ""};
     case ParseResult::kIncomplete:
-      return {408, "timed out waiting for the request", ""};
+      return {408, "the call took too long to come", ""};
     default:
-      return {400, "malformed HTTP request", ""};
+      return {400, "this is no HTTP request", ""};
   }
 }
 
--- a/src/platform/platform.cpp
+++ b/src/platform/platform.cpp
@@ -127,11 +127,11 @@
 std::variant<FlowRequest, BadRequest, Page> Platform::ParseRequest(Message message, bool long_body,
                                                                    std::optional<int> request_class) const {
   if (message.target == kReadyPath || message.target == kCountersPath) {
-    if (message.method != "GET") return BadRequest{400, "this page only accepts GET"};
+    if (message.method != "GET") return BadRequest{400, "this page takes GET"};
     return message.target == kReadyPath ? Page::kReady : Page::kCounters;
   }
-  if (message.method == "CONNECT") return BadRequest{405, "CONNECT is not supported"};
-  if (!IsApiPath(message.target)) return BadRequest{404, "path not found"};
+  if (message.method == "CONNECT") return BadRequest{405, "this is no proxy"};
+  if (!IsApiPath(message.target)) return BadRequest{404, "no such path"};
   RemoveConnectionHeaders(&message);
   // With a duplicate header, a real server might use the other value.
   for (const char* header_name :
@@ -140,40 +140,37 @@
       return HeaderNamesEqual(header.name, header_name);
     };
     if (std::count_if(message.headers.begin(), message.headers.end(), matches) > 1) {
-      return BadRequest{400, std::string(header_name) + " header occurs more than once"};
+      return BadRequest{400, std::string(header_name) + " comes more than once"};
     }
   }
   FlowRequest request;
   const std::string* id = message.Find(kRequestIdHeader);
-  if (id == nullptr || id->empty())
-    return BadRequest{400, std::string(kRequestIdHeader) + " header is missing"};
+  if (id == nullptr || id->empty()) return BadRequest{400, std::string(kRequestIdHeader) + " is missing"};
   request.id = *id;
-  if (!request_class)
-    return BadRequest{400, std::string(kClassHeader) + " header is missing or has an unknown value"};
+  if (!request_class) return BadRequest{400, std::string(kClassHeader) + " is missing or unknown"};
   request.request_class = *request_class;
   if (!config_.tenant_names.empty()) {
     const std::string* tenant_name = message.Find(kTenantHeader);
     const auto tenant = tenant_name ? IndexOfName(config_.tenant_names, *tenant_name) : std::nullopt;
-    if (!tenant)
-      return BadRequest{400, std::string(kTenantHeader) + " header is missing or has an unknown value"};
+    if (!tenant) return BadRequest{400, std::string(kTenantHeader) + " is missing or unknown"};
     request.tenant = *tenant;
   }
   const std::string* time = message.Find(kTimeoutHeader);
   const auto timeout_ms = time ? ParseInteger(*time) : std::nullopt;
   if (!timeout_ms || *timeout_ms < 0 || *timeout_ms > kMaxTimeoutMs) {
-    return BadRequest{400, std::string(kTimeoutHeader) + " header is missing or is not a valid timeout"};
+    return BadRequest{400, std::string(kTimeoutHeader) + " is missing or no time"};
   }
   request.time_left = std::chrono::milliseconds(*timeout_ms);
   const Repeat repeat = config_.settings.classes[static_cast<size_t>(request.request_class)].repeat;
   if (message.method != (repeat == Repeat::kSafe ? "GET" : "POST")) {
-    return BadRequest{400, "method not allowed for this request class"};
+    return BadRequest{400, "the class does not take this method"};
   }
   if (message.method == "GET" && (long_body || !message.body.empty())) {
-    return BadRequest{400, "a GET request must not have a body"};
+    return BadRequest{400, "a request that is safe to repeat has no body"};
   }
   if (repeat == Repeat::kKeyed &&
       (message.Find(kIdempotencyKeyHeader) == nullptr || message.Find(kIdempotencyKeyHeader)->empty())) {
-    return BadRequest{400, std::string(kIdempotencyKeyHeader) + " header is missing"};
+    return BadRequest{400, std::string(kIdempotencyKeyHeader) + " is missing"};
   }
   const std::string* retried = message.Find(kRetriedHeader);
   request.client_retry = retried != nullptr && *retried == "1";
@@ -265,15 +262,15 @@
     std::snprintf(text, sizeof text, "%.3f", std::chrono::duration<double>(retry_after).count());
     headers.push_back({"Retry-After", text});
   }
-  return WriteResponse(503, headers, "request rejected, try again later\n", keep_alive);
+  return WriteResponse(503, headers, "turned down, try again later\n", keep_alive);
 }
 
 std::string Platform::FailureResponse(bool in_time, bool keep_alive) {
-  return WriteResponse(in_time ? 502 : 504, {}, "request failed; it may have been processed\n", keep_alive);
+  return WriteResponse(in_time ? 502 : 504, {}, "failed; it may have been carried out\n", keep_alive);
 }
 
 std::string Platform::UnfitResponse(int status, bool keep_alive) {
-  return WriteResponse(status, {}, "no real server accepts this request\n", keep_alive);
+  return WriteResponse(status, {}, "no real server takes this request\n", keep_alive);
 }
 
 std::string Platform::BadRequestResponse(const BadRequest& error) {
