--- a/src/edge/edge_connection.h
+++ b/src/edge/edge_connection.h
@@ -72,7 +72,7 @@
   bool idle() const { return state_ == State::kReading && !parser_.message_started() && input_.empty(); }
   // Closing such a connection costs the client no more than a reconnect.
   bool idle_after_response() const { return has_responded_ && idle(); }
-  bool NoUnreadInput() const { return stream_.ReadWouldBlock(); }  // nor a close by the client
+  bool NoUnreadInput() const { return stream_.ReadWouldBlock(); }  // nor an unread close by the client
   // No complete request so far and no input for kFirstRequestTimeout: shed before others under pressure.
   bool first_request_overdue() const;
   bool lingering() const { return state_ == State::kLingering; }  // closing; waits for the client to close
