--- a/tests/handover/handover_test.cpp
+++ b/tests/handover/handover_test.cpp
@@ -207,16 +207,14 @@
 }
 
 // A start must not depend on leftovers at the socket path or on another program that listens there.
-TEST_CASE("whatever stands in the way leaves an ordinary start", "[handover]") {
+TEST_CASE("a start succeeds whatever is at the path of the handover socket", "[handover]") {
   HandoverCluster cluster;
   const std::string path = (cluster.folder / "run" / ("umberdyke-" + cluster.host + "-8081.sock")).string();
-  SECTION("leftovers that are no socket") {
-    REQUIRE(files::WriteFileAtomically(path, "left by somebody").empty());
-  }
-  SECTION("a folder under its name") { fs::create_directories(path + "/deep"); }
-  SECTION("no folder at all") { fs::remove_all(cluster.folder / "run"); }
+  SECTION("a regular file") { REQUIRE(files::WriteFileAtomically(path, "not a socket").empty()); }
+  SECTION("a folder at the socket path") { fs::create_directories(path + "/deep"); }
+  SECTION("no runtime folder") { fs::remove_all(cluster.folder / "run"); }
   SECTION("a socket that nobody listens on") { close(BindUnixSocket(path)); }
-  SECTION("somebody who takes the call and says nothing") {
+  SECTION("a program that accepts and never replies") {
     const int fd = BindUnixSocket(path);
     REQUIRE(listen(fd, 4) == 0);
     const int first = cluster.Start();
@@ -232,7 +230,7 @@
 }
 
 // New processes that fail before they serve must not use up resources of the old process.
-TEST_CASE("a new process that dies or hangs before it serves costs the old one nothing", "[handover]") {
+TEST_CASE("a new process that dies or hangs before it serves does not affect the old one", "[handover]") {
   HandoverCluster cluster;
   const int old = cluster.Start();
   REQUIRE(cluster.WaitUntilReady(old));
@@ -274,7 +272,7 @@
     cluster.SignalProcess(old, SIGKILL);
     for (int i = 0; i < 10; ++i) CHECK(cluster.SendRequest() == 200);
   }
-  SECTION("it answers nothing") {
+  SECTION("it does not reply") {
     cluster.SignalProcess(old, SIGSTOP);
     const int next = cluster.Start();
     CHECK(cluster.WaitUntilReady(next));
@@ -285,7 +283,7 @@
 }
 
 // The new process must not exit because an earlier build holds the address exclusively.
-TEST_CASE("an address that another holds alone is taken once it is free", "[handover]") {
+TEST_CASE("a process listens on an address that another program held, once it is free", "[handover]") {
   HandoverCluster cluster;
   auto holder = std::make_unique<Party>(cluster.loop, cluster.listen());
   REQUIRE(holder->error.empty());
@@ -405,7 +403,7 @@
 }
 
 // Settings must not mix: requests held by the old process use the old settings until it exits.
-TEST_CASE("each of two processes goes by its own classes and tenants", "[handover]") {
+TEST_CASE("each of two processes uses its own classes and tenants", "[handover]") {
   HandoverCluster cluster;
   Party::Peer* held = nullptr;
   cluster.server.script = [&](Party::Peer& peer) { held = &peer; };
--- a/tests/passing/passing_test.cpp
+++ b/tests/passing/passing_test.cpp
@@ -100,7 +100,7 @@
 };
 
 // A body could be truncated, duplicated or rejected for its length, in any framing.
-TEST_CASE("a long body reaches its server whole, by length or in chunks, also when asked for first",
+TEST_CASE("a streaming body reaches its server whole, by length or chunked, also after 100 Continue",
           "[passing]") {
   const std::string body = Pattern(3'000'000);
   const std::vector<std::tuple<std::string, std::string, std::string>> cases = {
@@ -131,7 +131,8 @@
 }
 
 // Memory must not grow with what a server does not read, and the client must not be disconnected for it.
-TEST_CASE("a server that does not read stops the client, and not for good", "[passing]") {
+TEST_CASE("backpressure from a server that does not read stops the client until it reads again",
+          "[passing]") {
   StreamingSite site;
   site.sink.read_on_accept = false;
   const std::string body = Pattern(12'000'000);
@@ -150,7 +151,7 @@
 }
 
 // A request whose body data is no longer buffered must not be retried.
-TEST_CASE("once a piece of its body has left, a request is not sent again", "[passing]") {
+TEST_CASE("a request is not retried after part of its body was sent", "[passing]") {
   Site site(3);
   // Test peers handle complete messages only: this request never completes before the connection is closed.
   const auto client = site.Connect();
@@ -173,7 +174,8 @@
 }
 
 // A malformed body must not be forwarded as complete, and an attempt must not outlive its request.
-TEST_CASE("a long body that turns bad, or whose client leaves, ends its attempt unfinished", "[passing]") {
+TEST_CASE("a streaming body that is malformed, or whose client disconnects, aborts its attempt",
+          "[passing]") {
   for (const bool client_leaves : {false, true}) {
     INFO(client_leaves);
     StreamingSite site;
@@ -202,7 +204,7 @@
 }
 
 // The sidecar must not wait for the rest of a body that the server has rejected.
-TEST_CASE("an answer that comes before the body is whole ends the request", "[passing]") {
+TEST_CASE("a response that arrives before the body is complete ends the request", "[passing]") {
   StreamingSite site;
   const auto client = site.Connect();
   client->Send(StreamingHandRequest("Content-Length: 10000000"));
@@ -216,7 +218,7 @@
 }
 
 // A slow client must not be timed out as a stalled one, and a stalled one must not be waited for.
-TEST_CASE("a slow body is waited for, a silent one is not", "[passing]") {
+TEST_CASE("a slow body is waited for, a stalled one times out", "[passing]") {
   StreamingSite site;
   const auto slow = site.Connect();
   slow->Send(StreamingHandRequest("Content-Length: 80000"));
@@ -243,7 +245,7 @@
 }
 
 // A response could be truncated, delayed or sent to another request's client, in any framing.
-TEST_CASE("a long answer reaches its client whole in every framing, and at once", "[passing]") {
+TEST_CASE("a streaming response reaches its client whole in every framing, without delay", "[passing]") {
   const std::string body = Pattern(3'000'000);
   const std::vector<std::string> answers = {
       "HTTP/1.1 200 OK\r\nContent-Length: 3000000\r\nX-Lot: 7\r\n\r\n" + body,
@@ -286,7 +288,8 @@
 }
 
 // Memory must not grow with what a client does not read, and the rest of the response must not be lost.
-TEST_CASE("a client that does not read stops the server, and gets the rest when it does", "[passing]") {
+TEST_CASE("backpressure from a client that does not read stops the server until it reads again",
+          "[passing]") {
   Site site(1);
   const std::string body = Pattern(16'000'000);
   site.Script(
@@ -303,7 +306,7 @@
 }
 
 // A truncated response must not look complete to the client.
-TEST_CASE("a long answer that breaks off is seen to be broken", "[passing]") {
+TEST_CASE("a truncated streaming response is visible as truncated", "[passing]") {
   const std::vector<std::string> starts = {
       "HTTP/1.1 200 OK\r\nContent-Length: 3000000\r\n\r\n",
       "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2dc6c0\r\n",
@@ -327,7 +330,7 @@
 }
 
 // The start of a response must not be held back until its end arrives.
-TEST_CASE("an answer of unknown length is passed on soon, in pieces of one byte", "[passing]") {
+TEST_CASE("a response of unknown length is forwarded promptly, in pieces of one byte", "[passing]") {
   Site site(1);
   Party::Peer* server = nullptr;
   site.Script([&](Party::Peer& peer) {
@@ -347,7 +350,7 @@
 }
 
 // The windows of all transfers together must stay within their share of the memory.
-TEST_CASE("the windows of all transfers hold a quarter of the memory, half of that where it is shared",
+TEST_CASE("the windows of all transfers hold a quarter of the memory, half of that if it is shared",
           "[passing]") {
   StreamingBufferLimit limit(24 << 20);
   CHECK(limit.window() == StreamingBufferLimit::kMaxWindow);
