--- a/src/http1/http.cpp
+++ b/src/http1/http.cpp
@@ -183,9 +183,9 @@
 }
 
 Message HttpParser::TakeHead() {
-  std::string piece = TakeBodyPart();
+  std::string part = TakeBodyPart();
   Message head = std::exchange(message_, {});
-  message_.body = std::move(piece);
+  message_.body = std::move(part);
   return head;
 }
 
@@ -246,11 +246,11 @@
   return RequestStart(method, target, headers) + FramingHeader(framing);
 }
 
-std::string WriteBodyPart(std::string piece, const Framing& framing) {
-  if (!framing.chunked || piece.empty()) return piece;  // an empty chunk would end the body
+std::string WriteBodyPart(std::string part, const Framing& framing) {
+  if (!framing.chunked || part.empty()) return part;  // an empty chunk would end the body
   char size[20];
-  std::snprintf(size, sizeof size, "%zx\r\n", piece.size());
-  return size + piece + "\r\n";
+  std::snprintf(size, sizeof size, "%zx\r\n", part.size());
+  return size + part + "\r\n";
 }
 
 std::string WriteBodyEnd(const Framing& framing) { return framing.chunked ? "0\r\n\r\n" : ""; }
--- a/src/http1/http.h
+++ b/src/http1/http.h
@@ -113,7 +113,7 @@
 std::string WriteRequestHead(std::string_view method, std::string_view target,
                              const std::vector<Header>& headers, const Framing& framing);
 // Encode a part of a streamed body, and the end of the body, for the given framing.
-std::string WriteBodyPart(std::string piece, const Framing& framing);
+std::string WriteBodyPart(std::string part, const Framing& framing);
 std::string WriteBodyEnd(const Framing& framing);
 std::string WriteRequest(std::string_view method, std::string_view target, const std::vector<Header>& headers,
                          std::string_view body);
--- a/src/server/real_server.cpp
+++ b/src/server/real_server.cpp
@@ -253,8 +253,8 @@
     counters_.Add("answers_malformed");
     return End(*exchange, exchange->streams_response ? Code::kReset : Code::kMalformed);
   }
-  const bool has_body = parsed == ParseResult::kComplete || !parser.message().body.empty();
-  if (parser.is_streaming() && has_body && !exchange->streams_response) {
+  const bool ready_to_stream = parsed == ParseResult::kComplete || !parser.message().body.empty();
+  if (parser.is_streaming() && ready_to_stream && !exchange->streams_response) {
     if (parser.message().status != 200 || !exchange->events.on_response_head) {
       return End(*exchange, Code::kResponse, parser.TakeHead());  // the rest of the body is not read
     }
@@ -267,8 +267,8 @@
     if (connection.exchange != exchange) return;  // the callback cancelled the exchange
   }
   if (exchange->streams_response) {
-    if (std::string piece = parser.TakeBodyPart(); !piece.empty())
-      exchange->events.on_response_body(std::move(piece));
+    if (std::string part = parser.TakeBodyPart(); !part.empty())
+      exchange->events.on_response_body(std::move(part));
     if (connection.exchange != exchange) return;
   }
   if (parsed == ParseResult::kComplete) return FinishResponse(connection);
--- a/src/server/real_server.h
+++ b/src/server/real_server.h
@@ -47,7 +47,7 @@
   // Streaming response with status 200: the head, then the body in parts. Without on_response_head, and for
   // other statuses, a response that is too long to buffer ends the exchange with its head.
   std::function<void(const Message& head)> on_response_head;
-  std::function<void(std::string piece)> on_response_body;
+  std::function<void(std::string part)> on_response_body;
   // Called once, except after Cancel, and never from inside Start. The connection is closed or idle by then.
   std::function<void(ExchangeResult)> on_done;
 };
--- a/tests/net/parser_test.cpp
+++ b/tests/net/parser_test.cpp
@@ -131,9 +131,9 @@
         REQUIRE((parsed == ParseResult::kIncomplete || parsed == ParseResult::kComplete));
         if (!parser.is_streaming()) continue;
         if (!std::exchange(head_taken, true)) CHECK(parser.TakeHead().status == 200);
-        const std::string piece = parser.TakeBodyPart();
-        largest_part = std::max(largest_part, piece.size());
-        received += piece;
+        const std::string part = parser.TakeBodyPart();
+        largest_part = std::max(largest_part, part.size());
+        received += part;
       }
       CHECK((parsed == ParseResult::kComplete) == !until_close);
       if (until_close) CHECK(parser.FeedEnd() == ParseResult::kComplete);
