--- a/src/handover/handover.cpp
+++ b/src/handover/handover.cpp
@@ -167,10 +167,10 @@
   unlink(temporary.c_str());
   if (bind(fd, AsSockaddr(*address), sizeof *address) != 0 || listen(fd, kMaxSuccessors) != 0 ||
       chmod(temporary.c_str(), 0600) != 0 || rename(temporary.c_str(), path_.c_str()) != 0) {
-    const std::string why = std::strerror(errno);
+    const std::string error = std::strerror(errno);
     unlink(temporary.c_str());
     close(fd);
-    return why;
+    return error;
   }
   offered_ = true;
   offer_ = std::make_unique<FdWatcher>(loop_, fd, [this] { OnConnection(); });
@@ -207,9 +207,9 @@
   if (!valid) {  // it has exited or violates the protocol
     const auto it = std::find_if(successors_.begin(), successors_.end(),
                                  [&](const auto& s) { return s.get() == &successor; });
-    std::unique_ptr<Successor> gone = std::move(*it);
+    std::unique_ptr<Successor> removed = std::move(*it);
     successors_.erase(it);
-    loop_.DestroyLater(std::move(gone));
+    loop_.DestroyLater(std::move(removed));
   }
   owner_.on_change();
 }
--- a/src/sidecar/sidecar.cpp
+++ b/src/sidecar/sidecar.cpp
@@ -131,15 +131,15 @@
 
 void Sidecar::StartServing() {
   start_timer_.Stop();
-  const bool may_retry =
-      config_.console.has_value();  // a predecessor without handover support may hold the address
+  // A predecessor without handover support may hold the address.
+  const bool may_have_predecessor = config_.console.has_value();
   const std::string error = inherited_listener_
                                 ? listener_.Adopt(*std::exchange(inherited_listener_, std::nullopt))
-                                : listener_.Listen(config_.listen, may_retry);
+                                : listener_.Listen(config_.listen, may_have_predecessor);
   if (!error.empty()) {
     // An unusable address is a configuration error at startup. An address in use may belong to a predecessor,
     // so a process with a console retries, and so does any process that has started already.
-    if (!constructed_ && (!may_retry || !Listener::IsAddressInUse(error))) {
+    if (!constructed_ && (!may_have_predecessor || !Listener::IsAddressInUse(error))) {
       throw ConfigError("configuration: cannot listen on the listen address: " + error);
     }
     log_->Say(Event::kAddressTaken, config_.name + " cannot listen yet: " + error, {{"why", error}});
@@ -155,7 +155,8 @@
              {"application", config_.application},
              {"us", MicrosNow()}});
   if (handover_ == nullptr) return;
-  if (const std::string why = handover_->OfferListener(); !why.empty()) counters_.Add("handover_not_offered");
+  if (const std::string error = handover_->OfferListener(); !error.empty())
+    counters_.Add("handover_not_offered");
 }
 
 // While two processes of a sidecar run, each holds half of its limits.
@@ -222,8 +223,8 @@
     return;
   }
   counters_.Add("edges_accepted");
-  EdgeConnection& taken = *edges_.emplace(edge.get(), std::move(edge)).first->first;
-  if (closing_) taken.CloseWhenIdle();
+  EdgeConnection& accepted = *edges_.emplace(edge.get(), std::move(edge)).first->first;
+  if (closing_) accepted.CloseWhenIdle();
 }
 
 // Clients stay in the kernel's accept queue until an edge connection is free.
@@ -322,12 +323,12 @@
 void Sidecar::OnClosed(EdgeConnection& edge) {
   const auto it = edges_.find(&edge);
   if (!INVARIANT(it != edges_.end(), counters_)) return;
-  std::unique_ptr<EdgeConnection> gone = std::move(it->second);
+  std::unique_ptr<EdgeConnection> closed = std::move(it->second);
   edges_.erase(it);
-  gone->Close();
-  if (gone->flow != 0) counters_.Add("flows_left");
-  AbandonFlow(*gone, FlowEnd::kClientGone);
-  loop_.DestroyLater(std::move(gone));
+  closed->Close();
+  if (closed->flow != 0) counters_.Add("flows_left");
+  AbandonFlow(*closed, FlowEnd::kClientGone);
+  loop_.DestroyLater(std::move(closed));
   OnIdle();
   NotifyIfDrained();
 }
@@ -450,11 +451,11 @@
 void Sidecar::ApplyZonePlan(const std::string& text) { zone_watch_->ApplyDirective(text); }
 
 ConsoleMetrics Sidecar::CurrentMetrics() const {
-  ConsoleMetrics figures = metrics_.figures();
-  figures.concurrent = flows_.fully_received();
-  figures.targets = server_list_.listed_count();
-  figures.targets_disabled = static_cast<std::uint64_t>(decisions_.Avoided());
-  return figures;
+  ConsoleMetrics metrics = metrics_.figures();
+  metrics.concurrent = flows_.fully_received();
+  metrics.targets = server_list_.listed_count();
+  metrics.targets_disabled = static_cast<std::uint64_t>(decisions_.Avoided());
+  return metrics;
 }
 
 bool Sidecar::DrainClients() {
