--- a/tests/net/rules_test.cpp
+++ b/tests/net/rules_test.cpp
@@ -1,4 +1,4 @@
-// One test with real sockets for each rule that the sidecar keeps. Every party is scripted and on loopback.
+// Tests the sidecar's request handling rules on real loopback sockets, with scripted clients and servers.
 #include <catch2/catch.hpp>
 #include <thread>
 
@@ -7,8 +7,8 @@
 namespace umberdyke::net {
 namespace {
 
-// Guards against a changed or cut answer, and against taking requests before the sidecar is ready.
-TEST_CASE("a 200 answer is relayed whole, with the request passed on unchanged", "[rules]") {
+// Fails if the sidecar alters or truncates a request or response, or is not ready after its start.
+TEST_CASE("a 200 response is relayed whole, and the request is forwarded unchanged", "[rules]") {
   Site site;
   const std::string body(60'000, 'x');
   Message seen;
@@ -28,8 +28,8 @@
   CHECK(std::stoi(*seen.Find("X-Timeout-Ms")) <= 1500);
 }
 
-// Guards against forwarding what is no request, and against dying of it.
-TEST_CASE("bad input is answered here and never passed on", "[rules]") {
+// Fails if the sidecar forwards an invalid request or crashes on one.
+TEST_CASE("an invalid request gets an error from the sidecar and is not forwarded", "[rules]") {
   Site site;
   const auto without = [](std::string text, const std::string& part) {
     return text.erase(text.find(part), part.size());
@@ -65,8 +65,8 @@
         cases.size());
 }
 
-// Guards against answers out of order or lost where requests come together or in pieces.
-TEST_CASE("pipelined and split requests are answered one by one", "[rules]") {
+// Fails if responses are lost or out of order when requests arrive together or in parts.
+TEST_CASE("pipelined and split requests are answered in order", "[rules]") {
   Site site(1);
   site.Script([](Party::Peer& peer) { peer.Answer(200, *peer.last.Find("X-Request-ID")); });
   const auto client = site.Connect();
@@ -79,8 +79,9 @@
   CHECK(client->answers[1].body == "b2");
 }
 
-// Guards against a refusal, which invites a retry, of what may have had its effect.
-TEST_CASE("what may have run is never turned down where the class forbids it", "[rules]") {
+// A 503 invites the client to retry. Fails if the sidecar sends one for a request that may have taken effect
+// and that its class does not allow to run twice.
+TEST_CASE("a request that may have run is not rejected with 503 where its class forbids that", "[rules]") {
   const std::vector<std::tuple<std::string, std::string, bool>> cases = {
       {Hand(), "HTTP/1.1 500 E\r\nContent-Length: 0\r\n\r\n", false},
       {Hand(), "HTTP/1.1 503 E\r\nContent-Length: 0\r\n\r\n", false},
@@ -89,19 +90,20 @@
       {Hand("any"), "HTTP/1.1 500 E\r\nContent-Length: 0\r\n\r\n", true},
       {Look(), "HTTP/1.1 503 E\r\nContent-Length: 0\r\n\r\n", true},
   };
-  for (const auto& [request, reply, turned_down] : cases) {
+  for (const auto& [request, reply, rejected] : cases) {
     Site site;
     site.Script([&, text = reply](Party::Peer& peer) { peer.Reply(text); });
     const int status = site.Ask(request).status;
     INFO(request.substr(0, 12) << reply);
-    CHECK((status == 503) == turned_down);
+    CHECK((status == 503) == rejected);
     CHECK(status >= 500);
     CHECK(site.Requests() <= 5);
   }
 }
 
-// Guards against holding back what the module gave up, and against advice that the settings would not allow.
-TEST_CASE("with nobody to send to the turn-down says when to come back", "[rules]") {
+// Fails if the sidecar holds a request that the decision module gave up, or if Retry-After exceeds the limit
+// in the settings.
+TEST_CASE("a rejection for lack of servers has a Retry-After header", "[rules]") {
   Site site(0);
   const Message answer = site.Ask(Look("300"));
   CHECK(answer.status == 503);
@@ -109,8 +111,8 @@
   CHECK(std::stod(*answer.Find("Retry-After")) <= 2.0);
 }
 
-// Guards against relaying what no real server finished.
-TEST_CASE("a broken or malformed answer is a failure, not an answer", "[rules]") {
+// Fails if the sidecar relays a response that the real server did not complete.
+TEST_CASE("a truncated or malformed response is answered with 502", "[rules]") {
   for (const char* reply : {"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf", "rubbish\r\n\r\n",
                             "HTTP/1.1 200 OK\r\nContent-Length: 99999\r\n\r\n"}) {
     Site site(1);
@@ -123,16 +125,17 @@
   }
 }
 
-// Guards against trying everywhere what no real server takes, and against a client that is told to come back.
-TEST_CASE("a request that a real server finds unfit fails with its status, once", "[rules]") {
+// Fails if the sidecar retries a request that every real server would refuse as invalid, or answers it with a
+// status that invites the client to retry.
+TEST_CASE("a 400 from a real server is relayed and not retried", "[rules]") {
   Site site(3);
   site.Script([](Party::Peer& peer) { peer.Answer(400, ""); });
   for (const std::string& request : {Look(), Hand()}) CHECK(site.Ask(request).status == 400);
   CHECK(site.Requests() == 2);
 }
 
-// Guards against two attempts in flight: the first one's connection is closed before the next goes out.
-TEST_CASE("a silent attempt is closed before another one goes out", "[rules]") {
+// Fails if a flow has two attempts in flight: the connection of the first is closed before the next is sent.
+TEST_CASE("an attempt that times out is closed before the next one is sent", "[rules]") {
   Site site;
   Party::Peer* first = nullptr;
   int open_at_second = 0;
@@ -151,9 +154,8 @@
   CHECK(site.Until([&] { return first->ended; }));
 }
 
-// Guards against serving one client with the answer made for another: real servers know requests by their
-// ids.
-TEST_CASE("an id that is open in another flow is turned away and not passed on", "[rules]") {
+// Real servers identify requests by id. Fails if one client gets the response for another client's request.
+TEST_CASE("a request id in use by another flow is rejected with 409 and not forwarded", "[rules]") {
   Site site(1);
   Party::Peer* held = nullptr;
   site.Script([&](Party::Peer& peer) { held = &peer; });
@@ -165,11 +167,11 @@
   held->Answer(200, "done");
   REQUIRE(site.Until([&] { return !first->answers.empty(); }));
   site.Script([](Party::Peer& peer) { peer.Answer(200, "anew"); });
-  CHECK(site.Ask(Hand()).body == "anew");  // once answered, the id is nobody's any more
+  CHECK(site.Ask(Hand()).body == "anew");  // the id is free again once its flow is answered
 }
 
-// Guards against the end of one answer being read as the next one's beginning.
-TEST_CASE("what follows an answer is never another flow's answer", "[rules]") {
+// Fails if surplus bytes after one response are parsed as the start of the next one.
+TEST_CASE("surplus bytes after a response are not used as the response of another flow", "[rules]") {
   Site site(1);
   const std::string copy = WriteResponse(200, {}, "first", true);
   site.Script([&](Party::Peer& peer) {
@@ -177,7 +179,7 @@
   });
   CHECK(site.Ask(Look()).body == "first");
   REQUIRE(site.real[0]->peers.size() == 1);
-  site.real[0]->peers[0]->Reply(copy);  // unread when the next flow looks for a connection
+  site.real[0]->peers[0]->Reply(copy);  // still unread when the next flow needs a connection
   const auto client = site.Connect();
   client->Send(Hand());
   REQUIRE(site.Until([&] { return !client->answers.empty(); }));
@@ -185,8 +187,8 @@
   CHECK(site.real[0]->peers.size() == 2);
 }
 
-// Guards against waiting to the end of a flow's time for an answer that was begun and never ends.
-TEST_CASE("an answer that is not finished soon is spoilt, and the flow goes elsewhere", "[rules]") {
+// Fails if the sidecar waits until the flow's deadline for a response that started and never ends.
+TEST_CASE("a response that stalls counts as malformed, and the flow is retried elsewhere", "[rules]") {
   Site site(2);
   site.Script([&](Party::Peer& peer) {
     if (site.Requests() > 1) return peer.Answer(200, "whole");
@@ -196,8 +198,8 @@
   CHECK(site.sidecar->counters().Of("attempts_spoilt") == 1);
 }
 
-// Guards against clients that hold descriptors and send nothing, or never the end of a request.
-TEST_CASE("silent and slow clients get an error or a close within 3 s, and room is made for others",
+// Fails if clients that send nothing, or only part of a request, keep their file descriptors.
+TEST_CASE("silent and slow clients are closed or get an error within 3 s, and others are served meanwhile",
           "[rules]") {
   Site site(1, 64);
   site.Script([](Party::Peer& peer) { peer.Answer(200, "ok"); });
@@ -217,8 +219,8 @@
   CHECK_FALSE(usual->ended);
 }
 
-// Guards against a client that hears nothing: an answer leaves in time though the real server is silent.
-TEST_CASE("a silent real server costs no client its answer", "[rules]") {
+// Fails if a client gets no response in time because the real server does not respond.
+TEST_CASE("the client gets an error response in time when the real server does not respond", "[rules]") {
   Site site(1);
   const Time start = Clock::now();
   const Message answer = site.Ask([] {
@@ -230,8 +232,8 @@
   CHECK(Clock::now() - start < 3s);
 }
 
-// Guards against work for a client that has gone.
-TEST_CASE("a client that leaves ends its flow and its attempt", "[rules]") {
+// Fails if the sidecar goes on with a request whose client has disconnected.
+TEST_CASE("a client disconnect ends its flow and its attempt", "[rules]") {
   Site site(1);
   const auto client = site.Connect();
   client->Send(Look());
@@ -241,12 +243,12 @@
   CHECK(site.sidecar->counters().Of("flows_left") == 1);
 }
 
-// Guards against a handshake for every request, and against a reset by a connection that is already closed.
-TEST_CASE("connections are kept warm, and dropped once the real server closes them", "[rules]") {
+// Fails if each request opens a new connection, or if a request is sent on one that the server has closed.
+TEST_CASE("idle connections are reused, and dropped once the real server closes them", "[rules]") {
   Site site(1);
   site.Script([](Party::Peer& peer) { peer.Answer(200, "ok"); });
   const auto client = site.Connect();
-  for (size_t i = 1; i <= 20; ++i) {  // one right after another, as servers of the tier before call
+  for (size_t i = 1; i <= 20; ++i) {  // back to back, as servers of the tier in front send them
     client->Send(Look());
     REQUIRE(site.Until([&] { return client->answers.size() == i; }));
   }
@@ -257,8 +259,8 @@
   CHECK(site.real[0]->peers.size() == 2);
 }
 
-// Guards against new work for a node that leaves; the line comes in pieces, as it may.
-TEST_CASE("a draining real server gets nothing new once the watch has told of it", "[rules]") {
+// Fails if a draining server gets new requests. The update arrives in two chunks, which the protocol allows.
+TEST_CASE("a draining real server gets no new requests after the watch reported it", "[rules]") {
   Site site;
   site.Script([](Party::Peer& peer) { peer.Answer(200, "ok"); });
   REQUIRE(site.Until([&] { return site.watch != nullptr; }));
@@ -273,8 +275,9 @@
   CHECK(site.real[1]->requests == 20);
 }
 
-// Guards the memory on long days: servers come and go with new ids, some at the address of one that has gone.
-TEST_CASE("servers that have gone are forgotten, and their addresses are new ones' to use", "[rules]") {
+// Fails if removed servers stay in memory: over a long run servers come and go with new ids, and some reuse
+// the address of a removed one.
+TEST_CASE("removed servers are deleted from the list, and their addresses can be reused", "[rules]") {
   Site site(1);
   site.Script([](Party::Peer& peer) { peer.Answer(200, "ok"); });
   Counters counters;
@@ -295,13 +298,13 @@
   CHECK(site.Ask(Look()).status == 200);
   const std::string address = site.real[0]->address();
   site.Tell(ListText(2, false, {ServerLine("s0", address, "gone"), ServerLine("new", address)}));
-  REQUIRE(site.Until([&] { return site.real[0]->peers[0]->ended; }));  // the old one's connection
+  REQUIRE(site.Until([&] { return site.real[0]->peers[0]->ended; }));  // the connection to the removed server
   CHECK(site.Ask(Look()).status == 200);
   CHECK(site.real[0]->peers.size() == 2);
 }
 
-// Guards against a list that grows old: a watch that ends is asked for again, after the last version.
-TEST_CASE("a broken watch is asked for again after the last version that it told", "[rules]") {
+// Fails if the server list goes stale because a closed watch is not opened again from the last version.
+TEST_CASE("a closed watch is opened again from the last version received", "[rules]") {
   Site site;
   REQUIRE(site.Until([&] { return site.watch != nullptr; }));
   site.Tell(ListText(7, false, {}));
@@ -312,17 +315,17 @@
   CHECK(site.watch->last.target == "/api/targets?stream=1&index=7");
 }
 
-// Guards against a list that counts as told but never came: a watch that says nothing for long is asked anew.
-TEST_CASE("a silent watch is given up in time to ask again", "[rules]") {
+// Fails if the sidecar keeps a watch that is open but sends nothing, not even heartbeats.
+TEST_CASE("a silent watch is closed and opened again", "[rules]") {
   Site site;
   REQUIRE(site.Until([&] { return site.watch != nullptr; }));
   CHECK(site.Until([&] { return site.discovery.requests == 2; }));
   CHECK(site.sidecar->counters().Of("discovery_broken") == 1);
 }
 
-// Guards against a list that grows old after a move, and against a gap: the old watch counts until the new
-// one has told the whole list. A file that makes no sense changes nothing.
-TEST_CASE("a reload moves the watch to the discovery that the file names", "[rules]") {
+// Fails if the server list goes stale after discovery has moved. The old watch stays in use until the new one
+// has sent a full list. An invalid file changes nothing.
+TEST_CASE("a reload moves the watch to the discovery address in the file", "[rules]") {
   Site site(1);
   site.Script([](Party::Peer& peer) { peer.Answer(200, "ok"); });
   REQUIRE(site.Until([&] { return site.watch != nullptr; }));
@@ -331,7 +334,8 @@
   Party::Peer* new_watch = nullptr;
   moved.script = [&](Party::Peer& peer) {
     new_watch = &peer;
-    if (moved.requests == 1) return peer.stream.Close();  // asked for again at once, not when the module says
+    if (moved.requests == 1)
+      return peer.stream.Close();  // the sidecar retries at once, without the backoff of the decision module
     peer.Reply("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
   };
   const auto reload = [&](const std::string& text) {
@@ -359,8 +363,8 @@
   CHECK(site.discovery.requests == 1);
 }
 
-// Guards against dying of too many descriptors: idle connections make room, and nobody is lost.
-TEST_CASE("more clients than descriptors are all served in turn", "[rules]") {
+// Fails if the sidecar runs out of file descriptors: it must close idle connections and serve every client.
+TEST_CASE("more clients than file descriptors are all served", "[rules]") {
   Site site(1, 64);
   site.Script([](Party::Peer& peer) { peer.Answer(200, "ok"); });
   std::vector<std::unique_ptr<Client>> clients;
@@ -375,8 +379,8 @@
   CHECK(site.real[0]->peers.size() <= 8);
 }
 
-// Guards against requests lost at a planned restart.
-TEST_CASE("told to end, it serves on, answers what it took and then closes", "[rules]") {
+// Fails if requests are lost in a planned restart.
+TEST_CASE("shutdown goes on serving, answers the requests in flight and then closes", "[rules]") {
   Site site(1);
   Party::Peer* held = nullptr;
   site.Script([&](Party::Peer& peer) { held = &peer; });
@@ -386,8 +390,8 @@
   bool drained = false;
   const Time start = Clock::now();
   site.sidecar->Shutdown([&] { drained = true; });
-  const auto late = site.Connect();  // a new connection after the notice
-  // A client with a connection is served for as long as its answer comes before the end is forced.
+  const auto late = site.Connect();  // connects after shutdown has begun
+  // An open connection is served as long as the response can be sent before the forced shutdown.
   site.loop.RunUntil([] { return false; }, 1300ms);
   CHECK_FALSE(kept->ended);
   kept->Send("GET /-/counters HTTP/1.1\r\n\r\n");
@@ -404,8 +408,9 @@
   CHECK(site.Until([&] { return drained; }));
 }
 
-// After a stall the loop's timers run before it reads. Guards against a close of what only looks idle.
-TEST_CASE("a request that waits unread is answered before its connection is closed", "[rules]") {
+// After a stall the event loop runs its timers before it reads. Fails if a connection is closed as idle while
+// a request waits unread in its socket.
+TEST_CASE("a request that is still unread is answered before its connection is closed", "[rules]") {
   Site site;
   site.Script([](Party::Peer& peer) { peer.Answer(200, "done"); });
   const auto client = site.Connect();
@@ -414,7 +419,7 @@
   bool drained = false;
   site.sidecar->Shutdown([&] { drained = true; });
   client->Send(Look());
-  // Past the time at which connections at rest are closed, before the forced end.
+  // Past the time at which idle connections are closed, but before the forced shutdown.
   std::this_thread::sleep_for(2600ms);
   REQUIRE(site.Until([&] { return drained; }));
   CHECK(client->answers.size() == 2);
