--- a/tests/net/watch_test.cpp
+++ b/tests/net/watch_test.cpp
@@ -1,4 +1,5 @@
-// The watch on discovery, on real sockets: silence, ends, pieces, what cannot be read, lists that are pushed.
+// Tests the discovery watch on real sockets: silent and closed watches, split and malformed updates, and
+// server lists that are pushed.
 #include <catch2/catch.hpp>
 
 #include "platform/list_cutter.h"
@@ -15,59 +16,58 @@
 
 const std::string kHead = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
 
-// A site whose discovery does at each call what the test says; s0 serves, and s1 is what the list tells of.
+// A site whose discovery responds to each call as the test scripts it. s0 serves; the updates are about s1.
 struct WatchedSite : Site {
   explicit WatchedSite(const Change& change = {}) : Site(2, 1024, NoEnvironment(), change) {
     Script([](Party::Peer& peer) { peer.Answer(200, "ok"); });
   }
-  // Whether the sidecar has taken the drain of s1, which version 2 tells.
-  bool Knows() const { return sidecar->counters().Of("discovery_changes") > 0; }
+  // Whether the sidecar has applied the drain of s1, which is in version 2 of the list.
+  bool DrainApplied() const { return sidecar->counters().Of("discovery_changes") > 0; }
   std::string Drain(bool full = false) {
     std::vector<std::string> lines{ServerLine("s1", real[1]->address(), "draining")};
-    if (full) lines = {ServerLine("s0", real[0]->address())};  // a whole list leaves out what drains
+    if (full) lines = {ServerLine("s0", real[0]->address())};  // a full list omits draining servers
     return ListText(2, full, lines);
   }
-  // The module's own time between two calls is in it.
-  bool TellsWithin(Span time) {
+  // Whether the sidecar has the drain within `time`, including its backoff between two calls.
+  bool DrainAppliedWithin(Span time) {
     for (Span passed{}; passed < time; passed += 50ms) {
-      if (Knows()) return true;
+      if (DrainApplied()) return true;
       loop.AdvanceTime(50ms);
     }
-    return Knows();
+    return DrainApplied();
   }
 };
 
-// Guards against bytes that pass for news: the head of a reconnect, a part of an object.
-TEST_CASE("a watch that falls silent is opened anew in time, also where the reconnects say nothing",
+// Fails if bytes without an update, such as a response head or part of an object, count as a sign of life.
+TEST_CASE("a watch that falls silent is opened again in time, also where the first reconnect stays silent",
           "[watch]") {
-  const std::vector<std::pair<const char*, std::string>> silences = {
+  const std::vector<std::pair<const char*, std::string>> silent_responses = {
       {"nothing", ""}, {"a head", kHead}, {"a part", kHead + Chunk("{\"version\":2,\"full\":false,\"ser")}};
-  for (const auto& [name, said] : silences) {
+  for (const auto& [name, response] : silent_responses) {
     for (const Span before : {Span(0ms), Span(1500ms), Span(4000ms)}) {
       WatchedSite site;
       REQUIRE(site.Until([&] { return site.watch != nullptr; }));
-      const auto beats = [&](Span time) {
+      const auto send_heartbeats = [&](Span time) {
         for (; time > 0ms; time -= 1s) {
           site.watch->Reply(Chunk("\n"));
           site.loop.AdvanceTime(std::min<Span>(time, 1s));
         }
       };
-      beats(before);
+      send_heartbeats(before);
       int calls = 0;
       site.discovery.script = [&](Party::Peer& peer) {
-        if (++calls == 1) return peer.Reply(said);
+        if (++calls == 1) return peer.Reply(response);
         peer.Reply(kHead + Chunk(site.Drain() + "\n"));
       };
       INFO(name << " after " << before.count());
-      CHECK(site.TellsWithin(5900ms));
+      CHECK(site.DrainAppliedWithin(5900ms));
       CHECK(calls == 2);
     }
   }
 }
 
-// Guards against a break that is charged with a wait of its own: a watch that is reset or ends is opened at
-// once.
-TEST_CASE("a watch that ends instead of telling is opened anew soon", "[watch]") {
+// Fails if the sidecar backs off after a reset or closed watch instead of opening it again at once.
+TEST_CASE("a watch that ends without an update is opened again soon", "[watch]") {
   for (const bool reset : {false, true}) {
     WatchedSite site;
     REQUIRE(site.Until([&] { return site.watch != nullptr; }));
@@ -78,15 +78,15 @@
     };
     reset ? site.watch->stream.Reset() : site.watch->stream.Close();
     INFO(reset);
-    CHECK(site.TellsWithin(2500ms));
+    CHECK(site.DrainAppliedWithin(2500ms));
     for (int i = 0; i < 20; ++i) CHECK(Settled(site.Ask(Look()).status));
     CHECK(site.real[0]->requests > 0);
-    CHECK(site.real[1]->requests == 0);  // what a whole list leaves out is gone
+    CHECK(site.real[1]->requests == 0);  // servers missing from a full list are gone
   }
 }
 
-// Guards against a whole list of thousands of servers that is given up while discovery still works on it.
-TEST_CASE("an answer that takes discovery longer than its heartbeat is waited for", "[watch]") {
+// Discovery needs a while for a full list of thousands of servers. Fails if the sidecar times out before.
+TEST_CASE("a response that takes discovery longer than its heartbeat does not time out", "[watch]") {
   WatchedSite site;
   REQUIRE(site.Until([&] { return site.watch != nullptr; }));
   Party::Peer* first = nullptr;
@@ -98,57 +98,57 @@
   REQUIRE(first != nullptr);
   CHECK_FALSE(first->ended);
   first->Reply(kHead + Chunk(site.Drain() + "\n"));
-  CHECK(site.TellsWithin(100ms));
+  CHECK(site.DrainAppliedWithin(100ms));
   CHECK(site.discovery.requests <= 3);
 }
 
-// Guards against asking at the pace of an outage when it is over.
-TEST_CASE("discovery that was down for long is heard within 6 s of its return", "[watch]") {
-  for (const bool refuses : {false, true}) {
+// Fails if the sidecar keeps the long backoff of an outage after discovery is back.
+TEST_CASE("an update arrives within 6 s of the end of a long discovery outage", "[watch]") {
+  for (const bool refuse : {false, true}) {
     WatchedSite site;
     REQUIRE(site.Until([&] { return site.watch != nullptr; }));
     bool down = true;
     site.discovery.script = [&](Party::Peer& peer) {
       if (!down) return peer.Reply(kHead + Chunk(site.Drain() + "\n"));
-      if (refuses) return peer.Answer(503, "");
+      if (refuse) return peer.Answer(503, "");
       peer.stream.Reset();
     };
     site.watch->stream.Close();
     for (int i = 0; i < 60; ++i) site.loop.AdvanceTime(1s);
-    CHECK(site.discovery.requests < 150);  // and it is not pressed meanwhile
+    CHECK(site.discovery.requests < 150);  // and the outage is not met with a flood of calls
     down = false;
-    INFO(refuses);
-    CHECK(site.TellsWithin(3500ms));
+    INFO(refuse);
+    CHECK(site.DrainAppliedWithin(3500ms));
   }
 }
 
-// Guards against the pace of an outage once discovery can be reached: it is back, lets the first call wait in
-// turn, and gives it up.
-TEST_CASE("a call that waits in turn and fails after an outage is made again at once", "[watch]") {
+// Fails if the backoff of an outage goes on once discovery can be reached: after its return discovery queues
+// the first call, which then fails.
+TEST_CASE("a call that is queued after an outage and fails is retried at once", "[watch]") {
   for (const bool silent : {false, true}) {
     WatchedSite site;
     REQUIRE(site.Until([&] { return site.watch != nullptr; }));
     bool down = true;
-    Party::Peer* waits = nullptr;
+    Party::Peer* queued = nullptr;
     site.discovery.script = [&](Party::Peer& peer) {
       if (down) return peer.stream.Reset();
-      if (waits != nullptr) return peer.Reply(kHead + Chunk(site.Drain() + "\n"));
-      waits = &peer;
+      if (queued != nullptr) return peer.Reply(kHead + Chunk(site.Drain() + "\n"));
+      queued = &peer;
     };
     site.watch->stream.Close();
     for (int i = 0; i < 30; ++i) site.loop.AdvanceTime(1s);
     down = false;
-    for (int i = 0; i < 60 && waits == nullptr; ++i) site.loop.AdvanceTime(50ms);
-    REQUIRE(waits != nullptr);
+    for (int i = 0; i < 60 && queued == nullptr; ++i) site.loop.AdvanceTime(50ms);
+    REQUIRE(queued != nullptr);
     INFO(silent);
     site.loop.AdvanceTime(silent ? 2310ms : 2s);
-    if (!silent) waits->Answer(503, "");
-    CHECK(site.TellsWithin(300ms));
+    if (!silent) queued->Answer(503, "");
+    CHECK(site.DrainAppliedWithin(300ms));
   }
 }
 
-// Guards against a change that is dropped with the text that could not be read, and never told again.
-TEST_CASE("what cannot be read is asked for again, after the last version that could be", "[watch]") {
+// Fails if a change is lost with the malformed update that held it, because the list is not fetched again.
+TEST_CASE("after a malformed update the list is fetched again from the last valid version", "[watch]") {
   WatchedSite site;
   REQUIRE(site.Until([&] { return site.watch != nullptr; }));
   Party::Peer* const first = site.watch;
@@ -157,7 +157,7 @@
     peer.Reply(kHead + Chunk(site.Drain() + "\n"));
   };
   site.Tell("no JSON");
-  site.Tell(ListText(7, false, {}));  // it goes on, but what was in between is missing
+  site.Tell(ListText(7, false, {}));  // the watch goes on, but without the versions in between
   REQUIRE(site.Until([&] { return site.sidecar->counters().Of("discovery_changes") == 1; }));
   CHECK(site.sidecar->counters().Of("discovery_unreadable") == 1);
   CHECK_FALSE(first->ended);
@@ -169,8 +169,8 @@
   CHECK_FALSE(site.watch->ended);
 }
 
-// Guards against a call a second for an entry that nobody can read.
-TEST_CASE("what can never be read is asked for less and less often", "[watch]") {
+// Fails if a permanently malformed entry makes the sidecar call discovery every second.
+TEST_CASE("a permanently malformed list is fetched less and less often", "[watch]") {
   WatchedSite site;
   REQUIRE(site.Until([&] { return site.watch != nullptr; }));
   std::vector<Party::Peer*> open;
@@ -184,8 +184,8 @@
   CHECK(site.discovery.requests < 20);
 }
 
-// Guards against lists in a form that the page allows: in pieces, on several lines, with braces in texts.
-TEST_CASE("objects are cut out of any bytes, whole and in order", "[watch]") {
+// Fails on forms of a list that the protocol allows: split, on several lines, with braces inside strings.
+TEST_CASE("objects are extracted from a byte stream whole and in order", "[watch]") {
   const std::string indented =
       "{\n  \"version\": 4,\n  \"full\": false,\n\n  \"servers\": [\n    {}\n  ]\n}\n";
   const std::string odd = R"({"a":"}{\\","b":"\"}"})";
@@ -212,7 +212,7 @@
   }
 }
 
-TEST_CASE("a list that is indented and comes byte by byte is taken", "[watch]") {
+TEST_CASE("an indented list that arrives byte by byte is applied", "[watch]") {
   WatchedSite site;
   REQUIRE(site.Until([&] { return site.watch != nullptr; }));
   std::string indented;
@@ -224,20 +224,20 @@
     site.watch->Reply(Chunk(std::string(1, c)));
     site.loop.RunReady();
   }
-  CHECK(site.Knows());
+  CHECK(site.DrainApplied());
   CHECK(site.sidecar->counters().Of("discovery_unreadable") == 0);
 }
 
-// --- Lists that are pushed: what is to be told counts from the first moment, watch or none ---
+// --- Pushed lists: a change counts from the moment discovery has it, whether or not a watch is open ---
 
 void Push(std::string* text) { *text = Replaced(*text, R"("discovery":"ask")", R"("discovery":"push")"); }
 
-// Guards against the list of the last life: the one that discovery has now is what counts.
-TEST_CASE("where lists are pushed a process serves once it has the list", "[watch]") {
+// Fails if the sidecar serves with the list of its previous run instead of the current one of discovery.
+TEST_CASE("with pushed lists a process serves once it has the list", "[watch]") {
   WatchedSite site(Push);
   REQUIRE(site.Until([&] { return site.watch != nullptr; }));
   site.loop.AdvanceTime(1s);
-  CHECK(site.Ask("GET /-/ready HTTP/1.1\r\n\r\n").status == 0);  // nobody listens yet
+  CHECK(site.Ask("GET /-/ready HTTP/1.1\r\n\r\n").status == 0);  // the sidecar does not listen yet
   site.watch->Reply(Chunk(site.Drain(true) + "\n"));
   site.loop.RunReady();
   CHECK(site.Ask("GET /-/ready HTTP/1.1\r\n\r\n").status == 200);
@@ -246,9 +246,9 @@
   CHECK(site.real[1]->requests == 0);
 }
 
-// Guards against a pace of calls that is slower than a drain allows: what the agent gets at its return counts
-// at once.
-TEST_CASE("where lists are pushed an agent that is back is heard within a quarter of a second", "[watch]") {
+// A change that the agent receives on its return counts at once. Fails if the reconnects are too slow for a
+// drain.
+TEST_CASE("with pushed lists an update arrives within 250 ms of the agent's return", "[watch]") {
   WatchedSite site(Push);
   REQUIRE(site.Until([&] { return site.watch != nullptr; }));
   site.watch->Reply(
@@ -261,12 +261,12 @@
     down ? peer.stream.Reset() : peer.Reply(kHead + Chunk(site.Drain() + "\n"));
   };
   site.watch->stream.Close();
-  for (const Span away : {Span(300ms), Span(8s), Span(60s)}) {
+  for (const Span outage : {Span(300ms), Span(8s), Span(60s)}) {
     down = true;
     for (auto& peer : site.discovery.peers) {
       if (peer->stream.open()) peer->stream.Reset();
     }
-    site.loop.AdvanceTime(away);
+    site.loop.AdvanceTime(outage);
     const auto before = site.sidecar->counters().Of("discovery_changes");
     down = false;
     site.loop.AdvanceTime(250ms);
@@ -274,18 +274,18 @@
   }
 }
 
-// Guards against a start that hangs on a discovery that is away.
-TEST_CASE("where lists are pushed and none comes a process serves all the same within 10 s", "[watch]") {
-  for (const bool refuses : {false, true}) {
+// Fails if the start hangs while discovery is unavailable.
+TEST_CASE("with pushed lists a process that gets no list serves within 10 s", "[watch]") {
+  for (const bool refuse : {false, true}) {
     WatchedSite site(Push);
     site.discovery.script = [&](Party::Peer& peer) {
-      if (refuses) peer.stream.Reset();
+      if (refuse) peer.stream.Reset();
     };
     site.loop.AdvanceTime(5s);
-    INFO(refuses);
+    INFO(refuse);
     CHECK(site.Ask("GET /-/ready HTTP/1.1\r\n\r\n").status == 200);
     site.discovery.script = [&](Party::Peer& peer) { peer.Reply(kHead + Chunk(site.Drain() + "\n")); };
-    CHECK(site.TellsWithin(3500ms));
+    CHECK(site.DrainAppliedWithin(3500ms));
   }
 }
 
