--- a/tests/net/peer_test.cpp
+++ b/tests/net/peer_test.cpp
@@ -1,4 +1,4 @@
-// What sidecars of one tier tell each other of the list: the messages, and what is made of them.
+// Tests the messages in which sidecars of one tier report draining servers to each other, and their effect.
 #include <catch2/catch.hpp>
 
 #include "membership/call_backoff.h"
@@ -19,10 +19,10 @@
   return server;
 }
 
-// A list of one server, s0, that started at 5 ms, at version 3.
+// A list at version 3 with one server, s0, that started at 5 ms.
 struct List {
-  List() { Tell(3, UpstreamState::kReady, 5ms); }
-  void Tell(std::int64_t version, UpstreamState state, std::chrono::milliseconds started) {
+  List() { Update(3, UpstreamState::kReady, 5ms); }
+  void Update(std::int64_t version, UpstreamState state, std::chrono::milliseconds started) {
     server_list.Apply({version, false, {Server("s0", state, started)}, 0}, ListUpdate::kChanges);
   }
   UpstreamState State() const { return server_list.Find(0)->state; }
@@ -30,13 +30,13 @@
   ServerList server_list{counters, [](const ServerListEvent&) {}};
 };
 
-// Guards against a datagram that is longer than peers may send, and entries that are lost between two.
-TEST_CASE("news of many servers goes in datagrams of 256 bytes at most, and comes as it was", "[peer]") {
-  PeerReport news;
-  news.current = true;
-  for (std::uint32_t i = 0; i < 1000; ++i) news.closed.push_back({i * 0x9e3779b97f4a7c15u, i});
+// Fails if a datagram is longer than peers may send, or if entries are lost at a datagram boundary.
+TEST_CASE("a report on many servers is split into datagrams of at most 256 bytes without loss", "[peer]") {
+  PeerReport report;
+  report.current = true;
+  for (std::uint32_t i = 0; i < 1000; ++i) report.closed.push_back({i * 0x9e3779b97f4a7c15u, i});
   std::vector<ClosedServer> read;
-  for (const std::string& bytes : EncodePeerReport(news, 64)) {
+  for (const std::string& bytes : EncodePeerReport(report, 64)) {
     CHECK(bytes.size() <= 256);
     const auto message = DecodePeerMessage(bytes);
     REQUIRE(message);
@@ -44,16 +44,16 @@
     CHECK(part.current);
     read.insert(read.end(), part.closed.begin(), part.closed.end());
   }
-  CHECK(read == news.closed);
-  CHECK(EncodePeerReport(news, 3).size() == 3);
+  CHECK(read == report.closed);
+  CHECK(EncodePeerReport(report, 3).size() == 3);
   CHECK(EncodePeerReport({}, 64).size() == 1);
-  const auto question = DecodePeerMessage(EncodePeerQuery({1234567890123}));
-  REQUIRE(question);
-  CHECK(std::get<PeerQuery>(*question).version == 1234567890123);
+  const auto query = DecodePeerMessage(EncodePeerQuery({1234567890123}));
+  REQUIRE(query);
+  CHECK(std::get<PeerQuery>(*query).version == 1234567890123);
 }
 
-// Guards against strangers and damaged datagrams.
-TEST_CASE("what is no message of a peer is nothing", "[peer]") {
+// Fails if a datagram from an unknown sender or a damaged one is accepted.
+TEST_CASE("a datagram that is not a valid peer message is ignored", "[peer]") {
   const std::string good = EncodePeerQuery({7});
   for (size_t size = 0; size < good.size(); ++size) CHECK_FALSE(DecodePeerMessage(good.substr(0, size)));
   CHECK_FALSE(DecodePeerMessage(good + "x"));
@@ -62,33 +62,35 @@
   CHECK_FALSE(DecodePeerMessage(std::string(257, 'U')));
 }
 
-// Guards against news of an earlier life that closes the next one, and news older than the own list.
-TEST_CASE("a peer closes only the life that it names, and nothing that the own list knows better", "[peer]") {
-  const ClosedServer earlier{HashIncarnation("s0", 4ms), 9};
-  const ClosedServer known{HashIncarnation("s0", 5ms), 3};
-  const ClosedServer news{HashIncarnation("s0", 5ms), 4};
+// Fails if a report on an earlier run of a server closes its current run, or if a report that is older than
+// the sidecar's own list is applied.
+TEST_CASE("a peer report closes only the server run it names, and only if it is newer than the list",
+          "[peer]") {
+  const ClosedServer earlier_run{HashIncarnation("s0", 4ms), 9};
+  const ClosedServer outdated{HashIncarnation("s0", 5ms), 3};
+  const ClosedServer newer{HashIncarnation("s0", 5ms), 4};
   List list;
-  list.server_list.ApplyPeerReport({earlier, known}, 3);
+  list.server_list.ApplyPeerReport({earlier_run, outdated}, 3);
   CHECK(list.State() == UpstreamState::kReady);
-  list.server_list.ApplyPeerReport({news}, 3);
+  list.server_list.ApplyPeerReport({newer}, 3);
   CHECK(list.State() == UpstreamState::kDraining);
-  CHECK(list.server_list.ClosedSince(3) == std::vector<ClosedServer>{news});  // told on
+  CHECK(list.server_list.ClosedSince(3) == std::vector<ClosedServer>{newer});  // passed on to other peers
   CHECK(list.server_list.ClosedSince(4).empty());
-  list.Tell(5, UpstreamState::kReady, 6ms);
+  list.Update(5, UpstreamState::kReady, 6ms);
   CHECK(list.State() == UpstreamState::kReady);
-  list.server_list.ApplyPeerReport({news}, 3);
+  list.server_list.ApplyPeerReport({newer}, 3);
   CHECK(list.State() == UpstreamState::kReady);
 }
 
-// Guards against waits that end too late for a change to be learnt in time, and against a storm of calls.
-TEST_CASE("waits after refusals are long, grow in large tiers, and end in time in small ones", "[peer]") {
+// Fails if the backoff is too long to learn of a change in time, or so short that calls overload discovery.
+TEST_CASE("the backoff after rejections is at least 1.5 s, longer in large tiers, and bounded", "[peer]") {
   for (const int callers : {1, 31, 32, 330}) {
     CallBackoff backoff(7, callers);
     Span longest{};
     for (int i = 0; i < 200; ++i) {
-      const Span wait = backoff.NextDelay(CallFailure::kOverloaded, false);
-      CHECK(wait >= 1500ms);
-      longest = std::max(longest, wait);
+      const Span delay = backoff.NextDelay(CallFailure::kOverloaded, false);
+      CHECK(delay >= 1500ms);
+      longest = std::max(longest, delay);
     }
     CHECK((callers < 32) == (longest < 6s));
     CHECK(longest < 10s);
