--- a/tests/net/crossings_test.cpp
+++ b/tests/net/crossings_test.cpp
@@ -1,5 +1,5 @@
-// The moments in which one side ends something while the other still owes or is owed: each crossing is
-// forced, by bytes held back, gates, and a clock that the test moves on. docs/design.md lists them.
+// Tests races in which one side closes, drains or shuts down while the other still has work pending. Each
+// race is forced by withheld bytes, blocked listeners and a test clock. docs/design.md lists them.
 #include <netinet/in.h>
 #include <poll.h>
 #include <sys/resource.h>
@@ -15,9 +15,9 @@
 namespace umberdyke::net {
 namespace {
 
-// One more class, unsafe to repeat, whose late answers still earn: an attempt of it is neither called off nor
-// cut.
-void AddOnce(std::string* text) {
+// Adds a class that is unsafe to retry and whose late responses still have a worth, so that the sidecar
+// neither cancels its attempts nor cuts their time.
+void AddOnceClass(std::string* text) {
   *text = Replaced(*text, R"("request_classes":[)",
                    R"("request_classes":[{"name":"once","semantics":"side_effect","target_us":600000,
                       "hard_limit_us":900000,"late_share":0.5,"points":6},)");
@@ -28,11 +28,13 @@
          "\r\nContent-Length: " + std::to_string(body.size()) + "\r\n\r\n" + body;
 }
 
-// Between tiers nothing is turned away, as many at once, or a slow machine's late answers, would have it.
-void BetweenTiers(std::string* text) { *text = Replaced(*text, "\"tier\":0", "\"tier\":1"); }
+// Configures an inner tier, which rejects nothing. At the edge, many requests at once, or late responses on a
+// slow machine, would cause rejections.
+void MakeInnerTier(std::string* text) { *text = Replaced(*text, "\"tier\":0", "\"tier\":1"); }
 
-// Guards against a cut answer passed on as whole: bytes and the reset behind them are read in one turn.
-TEST_CASE("a reset right behind the bytes of an answer without a length is no end of it", "[crossings]") {
+// Fails if a truncated response is relayed as whole because its bytes and the reset behind them are read in
+// the same loop iteration.
+TEST_CASE("a reset behind a response without a length makes the attempt fail", "[crossings]") {
   for (const std::string& part :
        {std::string("HTTP/1.1 200 OK\r\n\r\nhalf of it"), "HTTP/1.1 200 OK\r\n\r\n" + std::string(5'000, 'x'),
         std::string("HTTP/1.0 200 OK\r\nConnection: close\r\n\r\n")}) {
@@ -48,8 +50,8 @@
   }
 }
 
-// And its sister: an end as it should be is one, however much comes with it.
-TEST_CASE("an answer without a length is whole where its connection ends as it should", "[crossings]") {
+// The opposite case: a normal close ends the response, however many bytes arrive with it.
+TEST_CASE("a response without a length is complete when its connection closes normally", "[crossings]") {
   for (const size_t size : {size_t{0}, size_t{10}, size_t{5'000}}) {
     Site site(1);
     site.Script([&](Party::Peer& peer) {
@@ -62,46 +64,45 @@
   }
 }
 
-// Guards against the answer to one request served for another: a copy comes when the connection is in use
-// again.
-TEST_CASE("while servers send answers twice no connection is used again before it has settled",
-          "[crossings]") {
+// Fails if a client gets the response to another request: the server sends a response twice, and the copy
+// arrives when the connection is in use again.
+TEST_CASE("after duplicate responses a connection is not reused before it has settled", "[crossings]") {
   Site site(1);
   Party::Peer* peer = nullptr;
   const auto answer = [&](const std::string& body) { peer->Answer(200, body); };
-  site.Script([&](Party::Peer& asked) { peer = &asked; });
+  site.Script([&](Party::Peer& caller) { peer = &caller; });
   const auto client = site.Connect();
-  const auto ask = [&](const std::string& id) {
+  const auto send_request = [&](const std::string& id) {
     peer = nullptr;
     client->Send(Look("4000", id));
     REQUIRE(site.Until([&] { return peer != nullptr; }));
   };
-  ask("one");
+  send_request("one");
   answer("one");
   REQUIRE(site.Until([&] { return client->answers.size() == 1; }));
-  Party::Peer* const noisy = peer;
-  answer("one");  // late, but nothing has been asked since
-  REQUIRE(site.Until([&] { return noisy->ended; }));
-  ask("two");
+  Party::Peer* const duplicating = peer;
+  answer("one");  // late, but no request has been sent since
+  REQUIRE(site.Until([&] { return duplicating->ended; }));
+  send_request("two");
   answer("two");
   REQUIRE(site.Until([&] { return client->answers.size() == 2; }));
   Party::Peer* const before = peer;
-  ask("three");
+  send_request("three");
   CHECK(peer != before);
-  before->Answer(200, "two");  // crosses the third request
+  before->Answer(200, "two");  // arrives while the third request is in flight
   site.loop.RunReady();
   answer("three");
   REQUIRE(site.Until([&] { return client->answers.size() == 3; }));
   CHECK(client->answers[2].body == "three");
   site.loop.AdvanceTime(30ms);
-  ask("four");
+  send_request("four");
   CHECK(peer->last.Find("X-Request-ID") != nullptr);
-  CHECK(site.real[0]->peers.size() == 3);  // settled: one of them serves again
+  CHECK(site.real[0]->peers.size() == 3);  // settled: one of them is reused
 }
 
-// Guards against blaming, or trusting, a connection on which half a line came while it was at rest.
-TEST_CASE("half a line behind an answer ends its connection and no flow", "[crossings]") {
-  Site site(1, 1024, NoEnvironment(), BetweenTiers);
+// Fails if half a line that arrives on an idle connection fails a flow, or if that connection is reused.
+TEST_CASE("half a line behind a response closes its connection and fails no flow", "[crossings]") {
+  Site site(1, 1024, NoEnvironment(), MakeInnerTier);
   site.Script([](Party::Peer& peer) { peer.Answer(200, *peer.last.Find("X-Request-ID")); });
   for (const bool unread : {false, true}) {
     CHECK(site.Ask(Look("4000", "one")).body == "one");
@@ -115,12 +116,11 @@
   CHECK(site.sidecar->counters().Of("attempts_spoilt") == 0);
 }
 
-// Guards against a second effect of what is unsafe to repeat: reset after its last byte it may have run, and
-// where no connection comes up it surely never did.
-TEST_CASE("an unsafe request is sent again where it never ran, and not where its server reset it",
-          "[crossings]") {
+// Fails if a request that is unsafe to retry takes effect twice. It may have run if its connection is reset
+// after its last byte; it cannot have run if no connection was established.
+TEST_CASE("an unsafe request is retried after a failed connect, and not after a reset", "[crossings]") {
   for (const bool refused : {false, true}) {
-    Site site(0, 1024, NoEnvironment(), AddOnce);
+    Site site(0, 1024, NoEnvironment(), AddOnceClass);
     std::vector<std::unique_ptr<Party>> servers;
     std::vector<std::string> lines;
     int attempts = 0;
@@ -132,7 +132,7 @@
         peer.Answer(200, "ran");
       };
     }
-    if (refused) servers[0].reset();  // nobody listens there any more
+    if (refused) servers[0].reset();  // nothing listens at its address any more
     REQUIRE(site.Until([&] { return site.watch != nullptr; }));
     site.Tell(ListText(2, false, lines));
     REQUIRE(site.Until([&] { return site.sidecar->counters().Of("discovery_changes") == 1; }));
@@ -144,16 +144,16 @@
       ran += status == 200 || status == 502 ? 1 : 0;
     }
     CHECK(ran > 0);
-    CHECK(attempts == ran);  // each ran once, whatever its client was told
+    CHECK(attempts == ran);  // each ran once, whatever status its client got
   }
 }
 
-// --- What a configuration that is read anew may change ---
+// --- What a configuration reload may change ---
 
-// Guards against one customer's classes, methods or limits for another's: a flow, and all flows, keep to one
-// set.
+// Fails if a reload gives a flow the classes, methods or limits of another customer: a flow in progress and
+// all new flows keep to one set.
 TEST_CASE("a reload with other classes and tenants moves the watch and changes nothing else", "[crossings]") {
-  Site site(1, 1024, NoEnvironment(), AddOnce);
+  Site site(1, 1024, NoEnvironment(), AddOnceClass);
   Party::Peer* held = nullptr;
   site.Script([&](Party::Peer& peer) { held = &peer; });
   REQUIRE(site.Until([&] { return site.watch != nullptr; }));
@@ -166,7 +166,7 @@
     watch = &peer;
     peer.Reply("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
   };
-  // The names change places: what is safe to repeat is "once" now, and another tenant is the only one.
+  // In the new file the class that is safe to retry is named "once", and the only tenant is another one.
   std::string text = ConfigText(moved.address(), "null");
   text = Replaced(Replaced(text, R"("name":"look")", R"("name":"once")"), "acme", "other");
   site.sidecar->Reload([&] { return ParseConfig(text, NoEnvironment()); });
@@ -188,8 +188,8 @@
   CHECK(other.requests == 1);
 }
 
-// Guards against a watch that nobody keeps while the process ends: what drains then gets nothing new either.
-TEST_CASE("a process that ends follows a reload, and sends nothing to what drains", "[crossings]") {
+// Fails if the watch is dropped during shutdown: a server that starts to drain then must get no new requests.
+TEST_CASE("a process that shuts down follows a reload and sends nothing to draining servers", "[crossings]") {
   Site site(2);
   site.Script([](Party::Peer& peer) { peer.Answer(200, "ok"); });
   REQUIRE(site.Until([&] { return site.watch != nullptr; }));
@@ -205,7 +205,7 @@
   site.sidecar->Reload([&] { return ParseConfig(ConfigText(moved.address(), "null"), NoEnvironment()); });
   REQUIRE(site.Until([&] { return watch != nullptr; }));
   site.watch = watch;
-  site.Tell(ListText(1, true, {ServerLine("s0", site.real[0]->address())}));  // leaves out s1
+  site.Tell(ListText(1, true, {ServerLine("s0", site.real[0]->address())}));  // omits s1
   site.loop.RunReady();
   for (size_t i = 1; i <= 20; ++i) {
     client->Send(Look("4000", "r" + std::to_string(i)));
@@ -216,11 +216,11 @@
   CHECK(site.real[1]->requests == 0);
 }
 
-// --- Descriptors ---
+// --- File descriptors ---
 
-// Guards discovery, the servers and the end against clients that ask nothing: they hold all that clients may.
-TEST_CASE("idle clients that fill the descriptors keep nothing from discovery, servers or the end",
-          "[crossings]") {
+// Fails if idle clients that hold all descriptors allowed to clients block discovery, the servers or the
+// shutdown.
+TEST_CASE("idle clients at the descriptor limit do not block discovery, servers or shutdown", "[crossings]") {
   Site site(2, 64);
   site.Script([](Party::Peer& peer) { peer.Answer(200, "ok"); });
   REQUIRE(site.Until([&] { return site.watch != nullptr; }));
@@ -252,12 +252,12 @@
   CHECK(drained);
 }
 
-// --- A fleet ---
+// --- Many sidecars ---
 
-// The most by which the requests that a cold server has got from 25 sidecars in any second go over what
-// chance may add to its budget N, N + 2 sqrt(N) + 2, under a burst in which half of the warm servers refuse.
-// `told` is the count of sidecars in their settings.
-double MostOverColdBudget(int told) {
+// Returns by how much the requests to a cold server from 25 sidecars exceed N + 2 sqrt(N) + 2 in the worst
+// second, where N is its slow-start budget and the rest allows for chance. In the run half of the warm
+// servers reject a burst. `configured_sidecars` is the count of sidecars in the settings.
+double MaxExcessOverColdBudget(int configured_sidecars) {
   constexpr int kSidecars = 25, kWarm = 20;
   Loop loop;
   Party discovery(loop);
@@ -287,8 +287,8 @@
     peer.Answer(200, "ok", {{"X-Server-Load", R"({"inflight":1,"queue":0})"}});
   };
   std::string text = ConfigText(discovery.address(), ListText(1, true, lines));
-  BetweenTiers(&text);
-  text = Replaced(Replaced(text, "\"balancers\":1", "\"balancers\":" + std::to_string(told)),
+  MakeInnerTier(&text);
+  text = Replaced(Replaced(text, "\"balancers\":1", "\"balancers\":" + std::to_string(configured_sidecars)),
                   "\"probes\":true", "\"probes\":false");
   text = Replaced(text, "\"cold_us\":0",
                   R"("cold_us":22000000,"start_capacity":0.13,"fall_multiple":4,"fall_us":1000000)");
@@ -300,11 +300,12 @@
     clients.push_back(std::make_unique<Client>(loop, sidecars.back()->address()));
   }
   REQUIRE(loop.RunUntil([&] { return watches.size() == kSidecars; }, 10s));
-  int asked = 0;
+  int requests_sent = 0;
   const auto run = [&](std::chrono::milliseconds time, int every) {
     for (std::chrono::milliseconds passed{}; passed < time; passed += 10ms) {
       for (int i = 0; i < kSidecars; ++i) {
-        if ((passed / 10ms + i) % every == 0) clients[i]->Send(Look("4000", "r" + std::to_string(++asked)));
+        if ((passed / 10ms + i) % every == 0)
+          clients[i]->Send(Look("4000", "r" + std::to_string(++requests_sent)));
       }
       for (const auto& watch : watches) {
         if (passed % 1s == 0ms) watch->Reply("1\r\n\n\r\n");
@@ -313,7 +314,7 @@
     }
   };
   run(10s, 50);
-  const double full = served / 10.0 / kWarm;  // a second, at a warm one
+  const double full = served / 10.0 / kWarm;  // per second, at a warm server
   const auto started = std::chrono::system_clock::now().time_since_epoch() + Clock::test_offset;
   const std::string line = ListText(
       2, false,
@@ -337,50 +338,50 @@
   return over;
 }
 
-// The ramp is the fleet's, by the settings' count of sidecars alone; and a control, in which each ramps as if
-// it were the only one and the sum pushes the server over.
-TEST_CASE("twenty-five sidecars ramp one cold server within its budget", "[crossings]") {
-  CHECK(MostOverColdBudget(25) <= 0);
-  CHECK(MostOverColdBudget(1) > 0);
+// The sidecars share one slow-start ramp by the count of sidecars in the settings alone. In the control each
+// ramps as if it were the only one, and the sum exceeds the server's budget.
+TEST_CASE("the slow start of one cold server by 25 sidecars stays within its budget", "[crossings]") {
+  CHECK(MaxExcessOverColdBudget(25) <= 0);
+  CHECK(MaxExcessOverColdBudget(1) > 0);
 }
 
-// --- Told to end ---
+// --- Shutdown ---
 
-// A process whose end is forced 1.6 s after the notice: closes at 0.8 s, and has answered all at 1.4 s.
-struct ShortSite : Site {
-  explicit ShortSite(int servers = 1, int descriptors = 1024, const Change& change = {})
+// A process that is forced to exit 1.6 s after its shutdown begins. It closes idle connections at 0.8 s and
+// has answered every request at 1.4 s.
+struct ShortShutdownSite : Site {
+  explicit ShortShutdownSite(int servers = 1, int descriptors = 1024, const Change& change = {})
       : Site(servers, descriptors, NoEnvironment(), [&](std::string* text) {
           *text = Replaced(Replaced(*text, "4000000", "900000"), "1500000", "600000");
-          AddOnce(text);
+          AddOnceClass(text);
           if (change) change(text);
         }) {}
-  void End() {
+  void StartShutdown() {
     sidecar->Shutdown([this] { drained = true; });
   }
   bool drained = false;
 };
 
-// Guards against an end that is forced on what was taken: the client's time goes on for longer than the
-// process.
-TEST_CASE("what a hung server holds across an end is answered before the end is forced", "[crossings]") {
-  ShortSite site;  // its server never answers
+// Fails if the forced exit drops an accepted request whose deadline is later than the exit.
+TEST_CASE("a request at a hung server is answered before the forced exit", "[crossings]") {
+  ShortShutdownSite site;  // its server never responds
   const auto before = site.Connect();
   before->Send(Once("before"));
   REQUIRE(site.Until([&] { return site.Requests() == 1; }));
-  const auto rests = site.Connect();
-  rests->Send("GET /-/ready HTTP/1.1\r\n\r\n");
-  REQUIRE(site.Until([&] { return rests->answers.size() == 1; }));
-  site.End();
+  const auto idle_client = site.Connect();
+  idle_client->Send("GET /-/ready HTTP/1.1\r\n\r\n");
+  REQUIRE(site.Until([&] { return idle_client->answers.size() == 1; }));
+  site.StartShutdown();
   site.loop.AdvanceTime(600ms);
-  rests->Send(Once("after"));
+  idle_client->Send(Once("after"));
   site.loop.AdvanceTime(850ms);
   CHECK(before->answers.size() == 1);
-  CHECK(rests->answers.size() == 2);
+  CHECK(idle_client->answers.size() == 2);
 }
 
-// Guards against the end of a connection that has read more than it has answered.
-TEST_CASE("requests pipelined behind one in flight are all answered by a process that ends", "[crossings]") {
-  ShortSite site;
+// Fails if shutdown closes a connection that has read more requests than it has answered.
+TEST_CASE("requests pipelined behind one in flight are all answered during shutdown", "[crossings]") {
+  ShortShutdownSite site;
   Party::Peer* held = nullptr;
   site.Script([&](Party::Peer& peer) {
     const std::string id = *peer.last.Find("X-Request-ID");
@@ -389,11 +390,11 @@
   });
   const auto client = site.Connect();
   REQUIRE(site.Until([&] { return client->up; }));
-  site.End();
+  site.StartShutdown();
   site.loop.AdvanceTime(650ms);
   client->Send(Look("900", "one") + Look("900", "two") + Look("900", "three"));
   REQUIRE(site.Until([&] { return held != nullptr; }));
-  site.loop.AdvanceTime(180ms);  // connections at rest are closed by now
+  site.loop.AdvanceTime(180ms);  // idle connections are closed by now
   held->Answer(200, "one");
   REQUIRE(site.Until([&] { return client->ended; }));
   REQUIRE(client->answers.size() == 3);
@@ -405,33 +406,33 @@
   CHECK(site.Until([&] { return site.drained; }));
 }
 
-// Guards against an end that answers what is in flight and drops what stands behind it: in the last moments
-// nothing is tried any more, but all that came is owed an answer.
-TEST_CASE("what is pipelined behind a hung server's request is answered before the end is forced",
+// Fails if shutdown answers the request in flight and drops those pipelined behind it. Just before the exit
+// no attempt is made any more, but every request received must get a response.
+TEST_CASE("requests pipelined behind one at a hung server are answered before the forced exit",
           "[crossings]") {
-  ShortSite site;  // its server never answers
+  ShortShutdownSite site;  // its server never responds
   const auto client = site.Connect();
   client->Send(Once("one") + Once("two") + Once("three"));
   REQUIRE(site.Until([&] { return site.Requests() == 1; }));
-  site.End();
+  site.StartShutdown();
   site.loop.AdvanceTime(850ms);
   client->Send(Once("four"));
   site.loop.AdvanceTime(690ms);
   CHECK(client->answers.size() == 4);
   CHECK(client->ended);
-  CHECK(site.Requests() == 2);  // the time of the first was up at 0.9 s
+  CHECK(site.Requests() == 2);  // the first one timed out at 0.9 s
 }
 
-// Guards against losing a request of which a part had come when its connection was to close.
-TEST_CASE("a request that is half read when connections close is answered", "[crossings]") {
+// Fails if a request is lost that had arrived in part when its connection was due to close.
+TEST_CASE("a partly read request is answered when shutdown closes connections", "[crossings]") {
   const std::string request = Look("900");
   for (const size_t part : {size_t{1}, size_t{30}, request.size() - 1}) {
-    ShortSite site;
+    ShortShutdownSite site;
     site.Script([](Party::Peer& peer) { peer.Answer(200, "whole"); });
     const auto client = site.Connect();
     client->Send(Look("900", "first") + request.substr(0, part));
     REQUIRE(site.Until([&] { return client->answers.size() == 1; }));
-    site.End();
+    site.StartShutdown();
     site.loop.AdvanceTime(850ms);
     client->Send(request.substr(part));
     site.loop.RunReady();
@@ -440,26 +441,26 @@
   }
 }
 
-// Lets time pass at one stroke, as after a stall: what is due then runs before anything is read.
+// Advances the time in one step, as after a stall: timers that are due run before anything is read.
 void Stall(Loop& loop, std::chrono::milliseconds time) {
   Clock::test_offset += time;
   uv_update_time(loop.raw());
-  const auto nearer = [](uv_handle_t* handle, void* by) {
+  const auto shorten_timer = [](uv_handle_t* handle, void* by) {
     if (uv_handle_get_type(handle) != UV_TIMER || uv_is_active(handle) == 0) return;
     auto* timer = reinterpret_cast<uv_timer_t*>(handle);
     const auto passed = static_cast<std::uint64_t>(static_cast<std::chrono::milliseconds*>(by)->count());
     const std::uint64_t left = uv_timer_get_due_in(timer);
     uv_timer_start(timer, timer->timer_cb, left > passed ? left - passed : 0, 0);
   };
-  uv_walk(loop.raw(), nearer, &time);
+  uv_walk(loop.raw(), shorten_timer, &time);
 }
 
-// Guards against closing the door on those that the machine has accepted: a place is free only when the last
-// answers are due.
-TEST_CASE("connections that wait behind hung servers' clients are answered before the end is forced",
+// Fails if shutdown drops connections that the kernel has accepted and the process has not: a slot is free
+// only when the last responses are due.
+TEST_CASE("connections queued behind clients of a hung server are answered before the forced exit",
           "[crossings]") {
-  ShortSite site(1, 64, BetweenTiers);  // eight clients at once; its server never answers
-  site.End();
+  ShortShutdownSite site(1, 64, MakeInnerTier);  // eight clients at once; its server never responds
+  site.StartShutdown();
   site.loop.AdvanceTime(600ms);
   std::vector<std::unique_ptr<Client>> clients;
   for (int i = 0; i < 11; ++i) {
@@ -468,15 +469,14 @@
   }
   REQUIRE(site.Until([&] { return site.sidecar->counters().Of("flows_taken") == 8; }));
   site.loop.AdvanceTime(600ms);
-  Stall(site.loop, 240ms);  // across the moment in which all that is open has its answer
+  Stall(site.loop, 240ms);  // past the time at which every open request has been answered
   site.loop.AdvanceTime(100ms);
   for (const auto& client : clients) CHECK(client->answers.size() == 1);
 }
 
-// Guards against a close of what only looks at rest: the loop's timers run before it reads.
-TEST_CASE("a request that comes in the moment of a shutdown is answered, one after it goes nowhere",
-          "[crossings]") {
-  ShortSite site;
+// Fails if a connection with an unread request is closed as idle, because timers run before reads.
+TEST_CASE("a request sent just before the close is answered, one sent after it is not", "[crossings]") {
+  ShortShutdownSite site;
   site.Script([](Party::Peer& peer) { peer.Answer(200, "done"); });
   const auto unread = site.Connect();
   const auto late = site.Connect();
@@ -484,9 +484,9 @@
     (*client)->Send(Look("900", "first"));
     REQUIRE(site.Until([&] { return (*client)->answers.size() == 1; }));
   }
-  site.End();
+  site.StartShutdown();
   site.loop.AdvanceTime(600ms);
-  unread->Send(Look("900", "unread"));  // in the kernel: nothing is read before connections are closed
+  unread->Send(Look("900", "unread"));  // stays in the kernel until connections are closed
   Stall(site.loop, 250ms);
   site.loop.AdvanceTime(30ms);
   CHECK(unread->answers.size() == 2);
@@ -499,9 +499,9 @@
   CHECK(site.drained);
 }
 
-// Guards against a reset that takes the last answer along: more comes than was asked for, unread at the
+// Fails if the last response is lost to a reset, which the kernel sends if surplus bytes are unread at the
 // close.
-TEST_CASE("the last answer arrives whole though bytes cross the close", "[crossings]") {
+TEST_CASE("the last response arrives whole if the client goes on sending during the close", "[crossings]") {
   Site site(1);
   const std::string body(50'000, 'x');
   site.Script([&](Party::Peer& peer) { peer.Answer(200, body); });
@@ -520,10 +520,10 @@
   CHECK(client->answers[0].body == body);
 }
 
-// Guards those that the machine has accepted and the process has not: they may have sent their requests.
-TEST_CASE("connections that wait for a descriptor when the process ends are taken and answered",
-          "[crossings]") {
-  ShortSite site(1, 64);  // eight clients at once
+// Connections that the kernel has accepted and the process has not may have sent requests. Fails if they are
+// dropped.
+TEST_CASE("connections that wait for a descriptor at shutdown are accepted and answered", "[crossings]") {
+  ShortShutdownSite site(1, 64);  // eight clients at once
   std::vector<Party::Peer*> held;
   site.Script([&](Party::Peer& peer) { held.push_back(&peer); });
   std::vector<std::unique_ptr<Client>> clients;
@@ -532,30 +532,30 @@
     clients.back()->Send(Once("r" + std::to_string(i)));
   }
   REQUIRE(site.Until([&] { return held.size() == 8; }));
-  site.End();
+  site.StartShutdown();
   site.loop.AdvanceTime(850ms);
   site.Script([](Party::Peer& peer) { peer.Answer(200, "ok"); });
   for (Party::Peer* peer : held) peer->Answer(200, "ok");
   site.loop.AdvanceTime(100ms);
   for (const auto& client : clients) {
     REQUIRE(client->answers.size() == 1);
-    CHECK(Settled(client->answers[0].status));  // in the time that is left the module may turn it down
+    CHECK(Settled(client->answers[0].status));  // the decision module may reject it for lack of time
   }
 }
 
-// Guards against an accept that fails and takes the client along: it may have sent its request.
-TEST_CASE("a client for whom no descriptor can be had waits, and is answered once one can", "[crossings]") {
+// Fails if a failed accept drops the client, which may have sent its request.
+TEST_CASE("a client that finds no free descriptor waits and is answered once there is one", "[crossings]") {
   Site site(1);
   site.Script([](Party::Peer& peer) { peer.Answer(200, "ok"); });
-  REQUIRE(site.Ask(Look()).status == 200);  // the way to the server is open
-  site.loop.RunReady();                     // and the connection of the one that asked has gone
+  REQUIRE(site.Ask(Look()).status == 200);  // a connection to the server is open
+  site.loop.RunReady();                     // and the connection of that client is closed
   const int client = socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0);
   rlimit before{};
   getrlimit(RLIMIT_NOFILE, &before);
-  const rlimit few{256, before.rlim_max};
-  setrlimit(RLIMIT_NOFILE, &few);
-  std::vector<int> filled;
-  for (int fd = dup(client); fd >= 0; fd = dup(client)) filled.push_back(fd);
+  const rlimit lowered_limit{256, before.rlim_max};
+  setrlimit(RLIMIT_NOFILE, &lowered_limit);
+  std::vector<int> filler_fds;
+  for (int fd = dup(client); fd >= 0; fd = dup(client)) filler_fds.push_back(fd);
   const Address address = site.sidecar->address();
   const int connected = connect(client, reinterpret_cast<const sockaddr*>(&address), sizeof(sockaddr_in));
   const std::string request = Look("4000", "waits");
@@ -563,17 +563,17 @@
   site.loop.AdvanceTime(500ms);
   std::string answer(4096, 0);
   const ssize_t early = recv(client, answer.data(), answer.size(), MSG_DONTWAIT);
-  const int why = errno;
+  const int early_errno = errno;
   const auto failed = site.sidecar->counters().Of("edges_not_accepted");
-  for (const int fd : filled) close(fd);
+  for (const int fd : filler_fds) close(fd);
   setrlimit(RLIMIT_NOFILE, &before);
-  // Only now, as the sanitizer's own checks want descriptors.
+  // Checked only now, because the sanitizer needs descriptors for its own checks.
   REQUIRE(connected == 0);
   REQUIRE(sent == static_cast<ssize_t>(request.size()));
   CHECK(early < 0);
-  CHECK(why == EAGAIN);
+  CHECK(early_errno == EAGAIN);
   CHECK(failed > 0);
-  CHECK(failed < 20);  // and the loop is not kept busy by it
+  CHECK(failed < 20);  // and the event loop does not spin on it
   site.loop.AdvanceTime(200ms);
   const ssize_t count = recv(client, answer.data(), answer.size(), MSG_DONTWAIT);
   CHECK(answer.substr(0, 15) == "HTTP/1.1 200 OK");
@@ -581,17 +581,17 @@
   close(client);
 }
 
-// --- A client that has gone ---
+// --- Client disconnects ---
 
-// Much more than is read ahead while a request is out, so that what comes behind it stays in the kernel.
-std::string ManyBehind() {
+// More bytes than the sidecar reads ahead while a request is in flight; the rest stays in the kernel.
+std::string ManyPipelinedRequests() {
   std::string many;
   while (many.size() < 60'000) many += Look("4000", "behind" + std::to_string(many.size()));
   return many;
 }
 
-// Guards against work for nobody: the close stands behind bytes that are not read, and the request waits for
-// a server.
+// Fails if an attempt is sent for a client that has disconnected. The close is behind unread bytes while the
+// request waits for a server.
 TEST_CASE("a client that closes while its request waits for a server gets no attempt", "[crossings]") {
   for (const bool pipelined : {false, true}) {
     Site site(0);
@@ -599,7 +599,7 @@
     server.script = [](Party::Peer& peer) { peer.Answer(200, "ok"); };
     REQUIRE(site.Until([&] { return site.watch != nullptr; }));
     const auto client = site.Connect();
-    client->Send(Look("4000", "waits") + (pipelined ? ManyBehind() : ""));
+    client->Send(Look("4000", "waits") + (pipelined ? ManyPipelinedRequests() : ""));
     REQUIRE(site.Until([&] { return site.sidecar->counters().Of("flows_taken") == 1; }));
     site.loop.RunReady();
     client->stream.Close();
@@ -612,8 +612,9 @@
   }
 }
 
-// Guards against a further attempt for nobody: the first was turned away, and no other server is there yet.
-TEST_CASE("a client that closes between two attempts gets no further one", "[crossings]") {
+// Fails if a retry is sent for a client that has disconnected. The first attempt was rejected, and no other
+// server is known yet.
+TEST_CASE("a client that closes between two attempts gets no second one", "[crossings]") {
   for (const bool pipelined : {false, true}) {
     Site site(1);
     Party::Peer* held = nullptr;
@@ -622,7 +623,7 @@
     other.script = [](Party::Peer& peer) { peer.Answer(200, "ok"); };
     REQUIRE(site.Until([&] { return site.watch != nullptr; }));
     const auto client = site.Connect();
-    client->Send(Look("4000", "waits") + (pipelined ? ManyBehind() : ""));
+    client->Send(Look("4000", "waits") + (pipelined ? ManyPipelinedRequests() : ""));
     REQUIRE(site.Until([&] { return held != nullptr; }));
     site.Tell(ListText(2, false, {ServerLine("s0", site.real[0]->address(), "draining")}));
     REQUIRE(site.Until([&] { return site.sidecar->counters().Of("discovery_changes") == 1; }));
@@ -639,10 +640,9 @@
   }
 }
 
-// A listening socket that takes no connection until it is asked to: one waits in its queue, others do not
-// come up.
-struct Gate {
-  Gate() {
+// A listening socket with a full accept queue: no further connection is established before AcceptOne().
+struct BlockedListener {
+  BlockedListener() {
     fd = socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0);
     sockaddr_in any{};
     any.sin_family = AF_INET;
@@ -655,17 +655,17 @@
     filler = socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0);
     REQUIRE(connect(filler, reinterpret_cast<sockaddr*>(&any), sizeof any) == 0);
   }
-  ~Gate() {
+  ~BlockedListener() {
     for (const int open : {fd, filler, taken, next}) {
       if (open >= 0) close(open);
     }
   }
-  void Open() { taken = accept(fd, nullptr, nullptr); }
-  // What the connection that came up then has brought.
-  std::string Brought() {
+  void AcceptOne() { taken = accept(fd, nullptr, nullptr); }
+  // The bytes received on the connection that was established after that.
+  std::string Received() {
     std::string all(4096, 0);
-    pollfd asked{fd, POLLIN, 0};
-    if (next < 0 && poll(&asked, 1, 0) > 0) next = accept(fd, nullptr, nullptr);
+    pollfd query{fd, POLLIN, 0};
+    if (next < 0 && poll(&query, 1, 0) > 0) next = accept(fd, nullptr, nullptr);
     const ssize_t count = next < 0 ? 0 : recv(next, all.data(), all.size(), MSG_DONTWAIT);
     all.resize(count > 0 ? static_cast<size_t>(count) : 0);
     return all;
@@ -677,71 +677,74 @@
   std::string address;
 };
 
-// Connections may take nearly as long to come up as a client waits.
-void AwaitConnects(std::string* text) {
+// Sets a connect timeout that is nearly as long as a client waits.
+void AllowSlowConnects(std::string* text) {
   *text = Replaced(*text, "\"connect_timeout_us\":150000", "\"connect_timeout_us\":3900000");
-  AddOnce(text);
+  AddOnceClass(text);
 }
 
-// A client whose request waits for the connection to the only ready server, which stands behind the gate.
-std::unique_ptr<Client> SendToLate(Site* site, const Gate& gate, const std::string& behind = "") {
+// Returns a client whose request waits for the connection to the only ready server, the blocked listener.
+std::unique_ptr<Client> SendToBlockedServer(Site* site, const BlockedListener& listener,
+                                            const std::string& pipelined_bytes = "") {
   REQUIRE(site->Until([&] { return site->watch != nullptr; }));
-  site->Tell(ListText(2, false, {ServerLine("late", gate.address)}));
+  site->Tell(ListText(2, false, {ServerLine("late", listener.address)}));
   REQUIRE(site->Until([&] { return site->sidecar->counters().Of("discovery_changes") == 1; }));
   auto client = site->Connect();
-  client->Send(Once("waits", "4000") + behind);
+  client->Send(Once("waits", "4000") + pipelined_bytes);
   REQUIRE(site->Until([&] { return site->sidecar->counters().Of("connections_opened") == 1; }));
   return client;
 }
 
-// Guards against a first byte for nobody on a connection that came up late (SYNs come again after a second).
-TEST_CASE("a client that closes while a connection comes up gets nothing sent on it", "[crossings]") {
+// Fails if bytes are sent for a client that has disconnected, on a connection that is established late (the
+// kernel retries a SYN after a second).
+TEST_CASE("nothing is sent on a new connection if the client closed during the connect", "[crossings]") {
   for (const bool pipelined : {false, true}) {
-    Gate gate;
-    Site site(0, 1024, NoEnvironment(), AwaitConnects);
-    const auto client = SendToLate(&site, gate, pipelined ? ManyBehind() : "");
+    BlockedListener listener;
+    Site site(0, 1024, NoEnvironment(), AllowSlowConnects);
+    const auto client = SendToBlockedServer(&site, listener, pipelined ? ManyPipelinedRequests() : "");
     site.loop.RunReady();
     client->stream.Close();
     site.loop.RunReady();
-    gate.Open();
-    std::string brought;
-    site.loop.RunUntil([&] { return !(brought += gate.Brought()).empty(); }, 2s);
+    listener.AcceptOne();
+    std::string received;
+    site.loop.RunUntil([&] { return !(received += listener.Received()).empty(); }, 2s);
     INFO(pipelined);
-    CHECK(brought.empty());
+    CHECK(received.empty());
   }
 }
 
-// Guards against new work for a server that leaves: the list tells of it while the connection comes up.
-TEST_CASE("a connection that comes up for a server that drains by then is not used", "[crossings]") {
-  Gate gate;
+// Fails if a draining server gets a new request: the list reports the drain during the connect.
+TEST_CASE("a connection is not used if its server started to drain during the connect", "[crossings]") {
+  BlockedListener listener;
   Site site(1, 1024, NoEnvironment(), [&](std::string* text) {
-    AwaitConnects(text);
+    AllowSlowConnects(text);
     *text = Replaced(*text, "\"state\":\"ready\"", "\"state\":\"draining\"");
   });
   site.Script([](Party::Peer& peer) { peer.Answer(200, "elsewhere"); });
-  const auto client = SendToLate(&site, gate);
+  const auto client = SendToBlockedServer(&site, listener);
   site.Tell(ListText(
-      3, false, {ServerLine("late", gate.address, "draining"), ServerLine("s0", site.real[0]->address())}));
+      3, false,
+      {ServerLine("late", listener.address, "draining"), ServerLine("s0", site.real[0]->address())}));
   REQUIRE(site.Until([&] { return site.sidecar->counters().Of("discovery_changes") == 2; }));
-  gate.Open();
+  listener.AcceptOne();
   REQUIRE(site.Until([&] { return client->answers.size() == 1; }));
   CHECK(client->answers[0].body == "elsewhere");
-  CHECK(gate.Brought().empty());
+  CHECK(listener.Received().empty());
 }
 
-// And its sister: a connection that comes up later than a second serves where the client is still there.
-TEST_CASE("a connection that comes up late is used by a client that waits", "[crossings]") {
-  Gate gate;
-  Site site(0, 1024, NoEnvironment(), AwaitConnects);
-  const auto client = SendToLate(&site, gate);
-  gate.Open();
-  std::string brought;
-  CHECK(site.loop.RunUntil([&] { return !(brought += gate.Brought()).empty(); }, 3s));
+// The opposite case: a connection that takes more than a second is used if the client is still connected.
+TEST_CASE("a connection that is established late is used for a client that still waits", "[crossings]") {
+  BlockedListener listener;
+  Site site(0, 1024, NoEnvironment(), AllowSlowConnects);
+  const auto client = SendToBlockedServer(&site, listener);
+  listener.AcceptOne();
+  std::string received;
+  CHECK(site.loop.RunUntil([&] { return !(received += listener.Received()).empty(); }, 3s));
 }
 
-// A keyed request that may have run at s0, and whose second attempt is on its way to the only other server,
-// at `address`. Its window is a second.
-std::unique_ptr<Client> SendTwice(Site* site, const std::string& address, size_t body) {
+// Sends a request with an idempotency key that may have run at s0 and is being retried at the only other
+// server, at `address`. Its idempotency window is one second.
+std::unique_ptr<Client> SendWithRetry(Site* site, const std::string& address, size_t body) {
   Party::Peer* first = nullptr;
   site->Script([&](Party::Peer& peer) { first = &peer; });
   REQUIRE(site->Until([&] { return site->watch != nullptr; }));
@@ -757,30 +760,30 @@
   return client;
 }
 void ShortWindow(std::string* text) {
-  AwaitConnects(text);
+  AllowSlowConnects(text);
   *text = Replaced(Replaced(*text, "\"window_us\":6000000", "\"window_us\":1000000"), "1500000", "3500000");
-  *text = Replaced(*text, "\"cancel\":true", "\"cancel\":false");  // nothing else ends the attempt
+  *text = Replaced(*text, "\"cancel\":true", "\"cancel\":false");  // so that nothing else ends the attempt
 }
 
-// Guards against a second effect: a repeat is decided on within its window, and leaves after it.
-TEST_CASE("a repeat whose connection comes up after its window is over is not sent", "[crossings]") {
-  Gate gate;
+// Fails if a request takes effect twice: the retry is decided on within the window and sent after it.
+TEST_CASE("a retry is not sent on a connection that is established after its window", "[crossings]") {
+  BlockedListener listener;
   Site site(1, 1024, NoEnvironment(), ShortWindow);
-  const auto client = SendTwice(&site, gate.address, 4);
+  const auto client = SendWithRetry(&site, listener.address, 4);
   site.loop.AdvanceTime(960ms);
-  CHECK(client->answers.size() == 1);  // and the answer is not held back
-  gate.Open();
-  std::string brought;
-  site.loop.RunUntil([&] { return !(brought += gate.Brought()).empty(); }, 2s);
-  CHECK(brought.empty());
+  CHECK(client->answers.size() == 1);  // and the response is not delayed
+  listener.AcceptOne();
+  std::string received;
+  site.loop.RunUntil([&] { return !(received += listener.Received()).empty(); }, 2s);
+  CHECK(received.empty());
 }
 
-// And its sister: one that is partly out by then never comes whole.
-TEST_CASE("a repeat that is partly out when its window is over never comes whole", "[crossings]") {
+// The same for a retry of which a part has been sent by then.
+TEST_CASE("a retry that is partly sent when its window ends is never completed", "[crossings]") {
   Site site(1, 1024, NoEnvironment(), ShortWindow);
   Party other(site.loop);
   other.Hold();
-  const auto client = SendTwice(&site, other.address(), 60'000);
+  const auto client = SendWithRetry(&site, other.address(), 60'000);
   REQUIRE(site.Until([&] { return !other.peers.empty(); }));
   site.loop.AdvanceTime(960ms);
   CHECK(client->answers.size() == 1);
@@ -789,54 +792,54 @@
   CHECK(other.requests == 0);
 }
 
-// Guards against a second effect of two at once: the copy is out and may have run, and the first one's
-// connection comes up after the window.
-TEST_CASE("a first attempt whose connection comes up after its copy's window is not sent", "[crossings]") {
-  Gate gate;
+// Fails if a hedged request takes effect twice: the copy has been sent and may have run, and the connection
+// of the first attempt is established after the window.
+TEST_CASE("a first attempt is not sent on a connection established after its copy's window", "[crossings]") {
+  BlockedListener listener;
   Site site(1, 1024, NoEnvironment(), [](std::string* text) {
     ShortWindow(text);
     *text = Replaced(Replaced(*text, "\"cancel\":false", "\"cancel\":false,\"parallel_tries\":true"),
                      "\"state\":\"ready\"", "\"state\":\"draining\"");
   });
   REQUIRE(site.Until([&] { return site.watch != nullptr; }));
-  site.Tell(ListText(2, false, {ServerLine("late", gate.address)}));
+  site.Tell(ListText(2, false, {ServerLine("late", listener.address)}));
   REQUIRE(site.Until([&] { return site.sidecar->counters().Of("discovery_changes") == 1; }));
   const auto client = site.Connect();
   client->Send(Hand());
   REQUIRE(site.Until([&] { return site.sidecar->counters().Of("connections_opened") == 1; }));
   site.Tell(ListText(3, false, {ServerLine("s0", site.real[0]->address())}));
-  REQUIRE(site.Until([&] { return site.Requests() == 1; }));  // the copy, which nobody answers
+  REQUIRE(site.Until([&] { return site.Requests() == 1; }));  // the copy, which gets no response
   site.loop.AdvanceTime(960ms);
-  gate.Open();
-  std::string brought;
-  site.loop.RunUntil([&] { return !(brought += gate.Brought()).empty(); }, 2s);
-  CHECK(brought.empty());
-}
-
-// Guards against a server that works for longer than anybody waits: the time told is what is left when the
-// request goes out, not when its connection was asked for.
-TEST_CASE("what an attempt tells its server is what is left once its connection is up", "[crossings]") {
-  Gate gate;
-  Site site(0, 1024, NoEnvironment(), AwaitConnects);
-  const auto client = SendToLate(&site, gate);
+  listener.AcceptOne();
+  std::string received;
+  site.loop.RunUntil([&] { return !(received += listener.Received()).empty(); }, 2s);
+  CHECK(received.empty());
+}
+
+// Fails if a server works for longer than its client waits. X-Timeout-Ms must be the time left when the
+// request is sent, not when its connect began.
+TEST_CASE("an attempt's X-Timeout-Ms is the time left once its connection is established", "[crossings]") {
+  BlockedListener listener;
+  Site site(0, 1024, NoEnvironment(), AllowSlowConnects);
+  const auto client = SendToBlockedServer(&site, listener);
   site.loop.AdvanceTime(1500ms);
-  gate.Open();
-  std::string brought;
+  listener.AcceptOne();
+  std::string received;
   const std::string_view name = "X-Timeout-Ms: ";
   REQUIRE(site.loop.RunUntil(
-      [&] { return (brought += gate.Brought()).find("\r\n\r\n") != std::string::npos; }, 3s));
-  const size_t at = brought.find(name);
+      [&] { return (received += listener.Received()).find("\r\n\r\n") != std::string::npos; }, 3s));
+  const size_t at = received.find(name);
   REQUIRE(at != std::string::npos);
-  CHECK(std::stoi(brought.substr(at + name.size())) <= 2500);
+  CHECK(std::stoi(received.substr(at + name.size())) <= 2500);
 }
 
-// Guards against a request that reaches its server after its client has gone: its last bytes are held back.
-TEST_CASE("a request that is partly out when its client closes never comes whole", "[crossings]") {
+// Fails if a request reaches its server whole after the client has disconnected. Its last bytes are withheld.
+TEST_CASE("a request that is partly sent when its client closes is never completed", "[crossings]") {
   for (const bool pipelined : {false, true}) {
-    Site site(1, 1024, NoEnvironment(), AddOnce);
+    Site site(1, 1024, NoEnvironment(), AddOnceClass);
     site.real[0]->Hold();
     const auto client = site.Connect();
-    client->Send(Once("held", "4000", std::string(60'000, 'x')) + (pipelined ? ManyBehind() : ""));
+    client->Send(Once("held", "4000", std::string(60'000, 'x')) + (pipelined ? ManyPipelinedRequests() : ""));
     REQUIRE(site.Until([&] { return !site.real[0]->peers.empty(); }));
     site.loop.RunReady();
     client->stream.Close();
--- a/tests/net/peer_test.cpp
+++ b/tests/net/peer_test.cpp
@@ -52,7 +52,7 @@
   CHECK(std::get<PeerQuery>(*query).version == 1234567890123);
 }
 
-// Fails if a datagram from an unknown sender or a damaged one is accepted.
+// Fails if a damaged datagram, or one of another protocol, is accepted.
 TEST_CASE("a datagram that is not a valid peer message is ignored", "[peer]") {
   const std::string good = EncodePeerQuery({7});
   for (size_t size = 0; size < good.size(); ++size) CHECK_FALSE(DecodePeerMessage(good.substr(0, size)));
