--- a/tests/net/overload_test.cpp
+++ b/tests/net/overload_test.cpp
@@ -1,4 +1,4 @@
-// A tier of sidecars on a discovery service that cannot answer all of them at once.
+// Tests a tier of sidecars whose discovery service is too slow to answer all of them at once.
 #include <catch2/catch.hpp>
 
 #include "busy_discovery.h"
@@ -8,12 +8,13 @@
 namespace {
 
 constexpr int kSidecars = 40;
-// A call of each sidecar takes discovery 6.8 s in all: three in ten are answered before they are refused.
-constexpr Span kWork = 170ms;
+// Discovery needs 6.8 s for one call of each sidecar, so it answers three in ten calls before it rejects
+// them.
+constexpr Span kWorkPerCall = 170ms;
 
-// Sidecars of one tier, s0 and s1 behind them, and discovery.
+// The sidecars of one tier, their real servers s0 and s1, and discovery.
 struct Tier {
-  Tier(bool peers, int seed) : discovery(loop, kWork) {
+  Tier(bool peers, int seed) : discovery(loop, kWorkPerCall) {
     std::vector<std::string> lines;
     for (auto& server : servers) {
       server.script = [](Party::Peer& peer) { peer.Answer(200, "ok"); };
@@ -22,20 +23,20 @@
     std::string text = ConfigText(discovery.address(), ListText(0, true, lines));
     text = Replaced(text, R"("balancers":1)", R"("balancers":)" + std::to_string(kSidecars));
     for (int i = 0; i < kSidecars; ++i) configs.push_back(Replaced(text, "8c1f30d27a5be964", Seed(seed, i)));
-    if (peers) TellOfPeers();
+    if (peers) AddPeers();
     for (const std::string& config : configs) Start(config);
   }
   static std::string Seed(int seed, int i) {
     return "8c1f30d2" + std::to_string(1000 + seed) + std::to_string(1000 + i);
   }
 
-  // Ports that were free a moment ago.
-  void TellOfPeers() {
+  // Adds the peer addresses to the configurations. The ports were free a moment ago.
+  void AddPeers() {
     std::vector<std::string> addresses;
-    std::vector<std::unique_ptr<Party>> taken;
+    std::vector<std::unique_ptr<Party>> port_holders;
     for (int i = 0; i < kSidecars; ++i) {
-      taken.push_back(std::make_unique<Party>(loop));
-      addresses.push_back(taken.back()->address());
+      port_holders.push_back(std::make_unique<Party>(loop));
+      addresses.push_back(port_holders.back()->address());
     }
     std::string all;
     for (const std::string& address : addresses) all += (all.empty() ? "\"" : ",\"") + address + "\"";
@@ -49,13 +50,13 @@
   void Start(const std::string& config) {
     sidecars.push_back(std::make_unique<Sidecar>(loop, ParseConfig(config, NoEnvironment()), log::NullLog()));
   }
-  int Behind() const {
+  int SidecarsWithoutDrain() const {
     return static_cast<int>(std::count_if(sidecars.begin(), sidecars.end(), [](const auto& s) {
       return s->counters().Of("discovery_changes") == 0;
     }));
   }
   void Drain() { discovery.Change(ListText(1, false, {ServerLine("s1", servers[1].address(), "draining")})); }
-  // Requests that reach the draining server when each sidecar gets a few.
+  // Sends each sidecar four requests and returns how many reach the draining server.
   int SentToDraining() {
     const int before = servers[1].requests;
     std::vector<std::unique_ptr<Client>> clients;
@@ -76,7 +77,8 @@
   std::vector<std::unique_ptr<Sidecar>> sidecars;
 };
 
-// Guards against a retry storm: refused calls that come back at once keep discovery's queue full for good.
+// Fails if rejected calls cause a retry storm: retried at once, they would keep discovery's queue full for
+// good.
 TEST_CASE("sidecars whose calls to discovery were refused do not keep it overloaded", "[overload]") {
   for (int seed = 1; seed <= 5; ++seed) {
     Tier tier(false, seed);
@@ -87,13 +89,13 @@
     tier.Drain();
     tier.loop.AdvanceTime(15s);
     INFO("seed " << seed);
-    CHECK(tier.Behind() == 0);
+    CHECK(tier.SidecarsWithoutDrain() == 0);
   }
 }
 
-// Guards against sends to a draining server where discovery answers some sidecars in time and the others
-// late: a change counts as known 6 s after discovery had it.
-TEST_CASE("sidecars that discovery keeps waiting learn of a drain from their peers", "[overload]") {
+// Fails if a draining server gets requests because discovery answers some sidecars in time and others late. A
+// change counts as known 6 s after discovery had it.
+TEST_CASE("sidecars that still wait for discovery learn of a drain from their peers", "[overload]") {
   for (int seed = 1; seed <= 5; ++seed) {
     Tier tier(true, seed);
     tier.loop.AdvanceTime(20s);
@@ -103,13 +105,13 @@
     tier.Drain();
     tier.loop.AdvanceTime(6s);
     INFO("seed " << seed);
-    CHECK(tier.Behind() > 0);
+    CHECK(tier.SidecarsWithoutDrain() > 0);
     CHECK(tier.SentToDraining() == 0);
   }
 }
 
-// Guards against a process that never hears its peers because its predecessor held the address at its start.
-TEST_CASE("a sidecar whose peer address is taken listens there once it is free", "[overload]") {
+// Fails if a process never receives from its peers because its predecessor held the address at its start.
+TEST_CASE("a sidecar whose peer address is in use listens there once it is free", "[overload]") {
   Tier tier(true, 1);
   const auto config = ParseConfig(tier.configs[0], NoEnvironment());
   Sidecar second(tier.loop, config, log::NullLog());
