--- a/tests/net/site.h
+++ b/tests/net/site.h
@@ -1,4 +1,4 @@
-// A small site for tests: its configuration, and scripted parties on loopback ports that the system chooses.
+// A test site: one sidecar with its configuration, and scripted peers on loopback ports chosen by the system.
 #ifndef UMBERDYKE_TESTS_NET_SITE_H_
 #define UMBERDYKE_TESTS_NET_SITE_H_
 
@@ -18,7 +18,8 @@
   return [](const std::string&) { return std::nullopt; };
 }
 
-// A configuration with a safe class, a class keyed by zone and one keyed everywhere.
+// A configuration with three classes: one safe to retry, one with idempotency keys per zone ("hand"), and one
+// with idempotency keys valid everywhere ("any").
 inline std::string ConfigText(const std::string& discovery, const std::string& known,
                               int descriptors = 1024) {
   return R"({"name":"n0","listen":"127.0.0.1:0","discovery":")" + discovery +
@@ -94,14 +95,15 @@
   }
   return text;
 }
-// Served, or turned down: on a slow machine the module may take a late answer or two for a crowd.
+// Served or rejected: on a slow machine the decision module may take a few late responses for overload.
 inline bool Settled(int status) { return status == 200 || status == 503; }
 inline std::string Hand(const std::string& request_class = "hand") {
   return "POST /api HTTP/1.1\r\nHost: s\r\nX-Request-ID: b2\r\nX-Priority-Class: " + request_class +
          "\r\nX-Tenant-Id: acme\r\nX-Timeout-Ms: 4000\r\nIdempotency-Key: k\r\nContent-Length: 4\r\n\r\nlot7";
 }
 
-// A sidecar between scripted parties. Discovery answers each watch with its head and keeps it open.
+// A sidecar with scripted clients, servers and discovery. Discovery answers each watch with a response head
+// and keeps it open.
 struct Site {
   using Change = std::function<void(std::string* config)>;
   explicit Site(int servers = 2, int descriptors = 1024, const Environment& environment = NoEnvironment(),
@@ -135,7 +137,7 @@
   }
   bool Until(const std::function<bool()>& done) { return loop.RunUntil(done, 10s); }
   std::unique_ptr<Client> Connect() { return std::make_unique<Client>(loop, sidecar->address()); }
-  // The one answer to a request on a new connection; status 0 where none came.
+  // Sends a request on a new connection and returns its response; status 0 if none came.
   Message Ask(const std::string& request) { return AskAt(sidecar->address(), request); }
   Message AskAt(const Address& address, const std::string& request) {
     const auto client = std::make_unique<Client>(loop, address);
