--- a/src/agent/agent.cpp
+++ b/src/agent/agent.cpp
@@ -102,9 +102,9 @@
   if (folders_.size() > kMostFolders) throw std::runtime_error("path lies too deep: " + settings_.path);
   owner::ClaimSettings claim;
   claim.id = self_.instance;
-  claim.session = settings_.session;
-  claim.margin = settings_.margin;
-  claim.rest = settings_.rest;
+  claim.session_timeout = settings_.session;
+  claim.clock_margin = settings_.margin;
+  claim.resign_cooldown = settings_.rest;
   const auto add = [&](std::unique_ptr<Duty> duty) {
     const Span after = StandAfter(settings_, duty->name());
     runners_.push_back(
--- a/src/agent/runner.cpp
+++ b/src/agent/runner.cpp
@@ -14,25 +14,25 @@
 using nodes::NodeStat;
 using nodes::Op;
 using owner::Action;
-using owner::Told;
+using owner::CallResult;
 
 namespace {
 
 constexpr int kFailuresToLeave = 6;  // in a row; then another may try
 constexpr std::int64_t kWrongEach = 3;
 
-Told ToldBy(int rc) {
+CallResult ToldBy(int rc) {
   switch (rc) {
     case nodes::kOk:
-      return Told::kOk;
+      return CallResult::kOk;
     case nodes::kNoNode:
-      return Told::kAbsent;
+      return CallResult::kAbsent;
     case nodes::kConnectionLost:
     case nodes::kClosing:
     case nodes::kSessionExpired:
-      return Told::kUnknown;
+      return CallResult::kUnknown;
     default:
-      return Told::kRefused;
+      return CallResult::kRefused;
   }
 }
 
@@ -74,7 +74,7 @@
   // Agents that start together do not all stand for every duty first: duties are spread over hosts.
   if (!stood_) return stand_.Start(stand_after_);
   Tell([&](owner::Claim& c, owner::Moment now, owner::Actions* out) {
-    c.Opened(now, session, std::chrono::duration_cast<owner::Moment>(granted), out);
+    c.OnConnected(now, session, std::chrono::duration_cast<owner::Moment>(granted), out);
   });
   if (!owning_) return;
   ++run_;
@@ -89,12 +89,12 @@
   hang_.Stop();
   step_.Stop();
   if (!stood_) return;
-  Tell([](owner::Claim& c, owner::Moment now, owner::Actions* out) { c.Interrupted(now, out); });
+  Tell([](owner::Claim& c, owner::Moment now, owner::Actions* out) { c.OnDisconnected(now, out); });
 }
 
 void Runner::Expired() {
   Interrupted();
-  Tell([](owner::Claim& c, owner::Moment now, owner::Actions* out) { c.Expired(now, out); });
+  Tell([](owner::Claim& c, owner::Moment now, owner::Actions* out) { c.OnSessionExpired(now, out); });
 }
 
 void Runner::Noticed(nodes::Notice notice, const std::string& path) {
@@ -102,8 +102,8 @@
   const std::string claims = parts_.paths.Claims(name_) + "/";
   if (notice != nodes::Notice::kDeleted || !path.starts_with(claims)) return;
   const std::string name = path.substr(claims.size());
-  if (name == claim_.watched()) gone_ = Clock::now();
-  Tell([&](owner::Claim& c, owner::Moment now, owner::Actions* out) { c.Gone(now, name, out); });
+  if (name == claim_.predecessor()) gone_ = Clock::now();
+  Tell([&](owner::Claim& c, owner::Moment now, owner::Actions* out) { c.OnNodeDeleted(now, name, out); });
 }
 
 void Runner::Resign() {
@@ -117,7 +117,7 @@
         Begin(action.term);
         break;
       case Action::Kind::kEnd:
-        End(action.why);
+        End(action.reason);
         break;
       case Action::Kind::kWake:
         wake_.Start(std::max<Span>(1ms, action.at - BootNow()));
@@ -145,8 +145,8 @@
     case Action::Kind::kList:
       return List(ticket);
     case Action::Kind::kCreate: {
-      const auto done = to_claim([ticket](owner::Claim& c, owner::Moment now, Told told,
-                                          owner::Actions* out) { c.Created(now, ticket, told, out); });
+      const auto done = to_claim([ticket](owner::Claim& c, owner::Moment now, CallResult told,
+                                          owner::Actions* out) { c.OnCreated(now, ticket, told, out); });
       return client.CreateSequential(path, fleet::Print(parts_.agent),
                                      [done](int rc, const std::string&) { done(rc); });
     }
@@ -154,29 +154,29 @@
       return client.Exists(path, false, [this, alive, ticket](int rc, const NodeStat& stat) {
         if (alive.expired()) return;
         Tell([&](owner::Claim& c, owner::Moment now, owner::Actions* out) {
-          c.Read(now, ticket, ToldBy(rc), stat.birth, stat.owner, out);
+          c.OnRead(now, ticket, ToldBy(rc), stat.birth, stat.owner, out);
         });
       });
     case Action::Kind::kWatch: {
-      const auto done = to_claim([ticket](owner::Claim& c, owner::Moment now, Told told,
-                                          owner::Actions* out) { c.Watched(now, ticket, told, out); });
+      const auto done = to_claim([ticket](owner::Claim& c, owner::Moment now, CallResult told,
+                                          owner::Actions* out) { c.OnWatched(now, ticket, told, out); });
       return client.Exists(path, true, [done](int rc, const NodeStat&) { done(rc); });
     }
     case Action::Kind::kConfirm: {
       // A write, so that the leader itself has heard of the session: a member that lags or is cut off can't
       // say this.
       const auto done =
-          to_claim([this, ticket](owner::Claim& c, owner::Moment now, Told told, owner::Actions* out) {
-            if (parts_.wrong.believes && told == Told::kAbsent) told = Told::kOk;
-            c.Confirmed(now, ticket, told, out);
+          to_claim([this, ticket](owner::Claim& c, owner::Moment now, CallResult told, owner::Actions* out) {
+            if (parts_.wrong.believes && told == CallResult::kAbsent) told = CallResult::kOk;
+            c.OnConfirmed(now, ticket, told, out);
           });
       return client.Multi({{Op::Kind::kCheck, path, "", -1}},
                           [done](int rc, const std::vector<int>&) { done(rc); });
     }
     case Action::Kind::kRemove: {
       const auto done =
-          to_claim([ticket](owner::Claim& c, owner::Moment now, Told told, owner::Actions* out) {
-            if (ticket != 0) c.Removed(now, ticket, told, out);
+          to_claim([ticket](owner::Claim& c, owner::Moment now, CallResult told, owner::Actions* out) {
+            if (ticket != 0) c.OnRemoved(now, ticket, told, out);
           });
       return client.Delete(path, done);
     }
@@ -194,7 +194,7 @@
     const auto listed = [this, alive, ticket](int rc, const std::vector<std::string>& names) {
       if (alive.expired()) return;
       Tell([&](owner::Claim& c, owner::Moment now, owner::Actions* out) {
-        c.Listed(now, ticket, rc == nodes::kNoNode ? Told::kRefused : ToldBy(rc), names, out);
+        c.OnListed(now, ticket, rc == nodes::kNoNode ? CallResult::kRefused : ToldBy(rc), names, out);
       });
     };
     if (synced != nodes::kOk) return listed(synced, {});
@@ -220,15 +220,15 @@
   ReadAll();
 }
 
-void Runner::End(owner::Why why) {
-  if (parts_.wrong.believes && why != owner::Why::kResigned) return;
+void Runner::End(owner::EndReason why) {
+  if (parts_.wrong.believes && why != owner::EndReason::kResigned) return;
   ++run_;
   owning_ = false;
   duty_->Stop();
   hang_.Stop();
   step_.Stop();
   gone_ = {};
-  const std::string text(owner::WhyText(why));
+  const std::string text(owner::EndReasonText(why));
   parts_.counters.Add("owner_ends." + name_);
   parts_.log.Say(Event::kOwnerEnds, "owns " + name_ + " no longer: " + text,
                  {{"duty", name_}, {"term", claim_.term()}, {"why", text}});
@@ -333,7 +333,7 @@
     return StepIn(duty_->pace());
   }
   if (!May()) return StepIn(50ms);
-  auto next = journal_.Mean(claim_.term(), plan.value_or(""));
+  auto next = journal_.PrepareStep(claim_.term(), plan.value_or(""));
   if (!next) {
     parts_.counters.Add("journals_newer");
     return Resign();  // an older term than the journal's is no owner's
@@ -378,7 +378,9 @@
   if (done.replaced && !parts_.wrong.believes) {
     // A place has seen a newer owner: the service will say the same once it is asked.
     parts_.counters.Add("orders_refused_old_term");
-    Tell([&](owner::Claim& c, owner::Moment now, owner::Actions* out) { c.Gone(now, c.name(), out); });
+    Tell([&](owner::Claim& c, owner::Moment now, owner::Actions* out) {
+      c.OnNodeDeleted(now, c.name(), out);
+    });
     return StepIn(100ms);
   }
   if (!done.worked) return Failed(done.why);
@@ -395,7 +397,7 @@
     if (rc != nodes::kOk) return Unwritten(rc, "a step could not be committed");
     journal_ = committed;
     ++journal_version_;
-    backoff_.Worked();
+    backoff_.OnSuccess();
     parts_.counters.Add("steps." + name_);
     parts_.log.Say(Event::kStepDone,
                    name_ + " step " + std::to_string(journal_.step) + " of term " +
@@ -410,12 +412,12 @@
 
 // A step that did not work is done again, later each time; others' duties go on.
 void Runner::Failed(const std::string& why) {
-  const Span wait = backoff_.Failed();
+  const Span wait = backoff_.OnFailure();
   parts_.counters.Add("steps_failed." + name_);
   parts_.log.Say(Event::kStepFailed, name_ + " step " + std::to_string(journal_.step) + " failed: " + why,
                  {{"duty", name_}, {"step", journal_.step}, {"why", why}});
   if (backoff_.failures() >= kFailuresToLeave) {
-    backoff_.Worked();
+    backoff_.OnSuccess();
     return Resign();  // elsewhere it may work
   }
   StepIn(wait);
@@ -427,7 +429,9 @@
     return;  // it is told
   parts_.counters.Add("writes_refused");
   if (rc == nodes::kNoNode) {
-    Tell([&](owner::Claim& c, owner::Moment now, owner::Actions* out) { c.Gone(now, c.name(), out); });
+    Tell([&](owner::Claim& c, owner::Moment now, owner::Actions* out) {
+      c.OnNodeDeleted(now, c.name(), out);
+    });
   }
   if (!owning_) return;
   parts_.log.Say(Event::kStepFailed, name_ + ": " + what + ": " + nodes::ErrorText(rc),
@@ -435,7 +439,7 @@
   // Read anew a little later: what stands there now decides.
   ++run_;
   reread_ = true;
-  StepIn(backoff_.Failed());
+  StepIn(backoff_.OnFailure());
 }
 
 }  // namespace umberdyke::agent
--- a/src/agent/runner.h
+++ b/src/agent/runner.h
@@ -65,7 +65,7 @@
   void Tell(Tell tell);
   void List(std::uint64_t ticket);
   void Begin(owner::Term term);
-  void End(owner::Why why);
+  void End(owner::EndReason why);
   bool May() const;
   // Runs `then` unless the tenure or the connection it was asked under is over.
   std::function<bool()> Still() const;
--- a/src/console/fleet_notes.cpp
+++ b/src/console/fleet_notes.cpp
@@ -54,17 +54,17 @@
   const auto handler = handlers_.find(order.duty);
   const std::string unusable = handler == handlers_.end() ? "" : handler->second.check(order.text);
   if (!unusable.empty()) return reject("orders_unusable", 409, unusable, &note);
-  switch (note.fence.Judge(order.life, life_, order.term, order.step)) {
-    case owner::Fence::Verdict::kTake:
+  switch (note.fence.Check(order.life, life_, order.term, order.step)) {
+    case owner::Fence::Decision::kAccept:
       break;
-    case owner::Fence::Verdict::kRepeat:
+    case owner::Fence::Decision::kDuplicate:
       counters_.Add("orders_repeated");
       return OrderResponse(200, "taken before", &note);
-    case owner::Fence::Verdict::kOldTerm:
+    case owner::Fence::Decision::kStaleTerm:
       return reject("orders_old_term", 409, "of an older term", &note);
-    case owner::Fence::Verdict::kOldStep:
+    case owner::Fence::Decision::kStaleStep:
       return reject("orders_old_step", 409, "overtaken by a later step", &note);
-    case owner::Fence::Verdict::kOtherLife:
+    case owner::Fence::Decision::kOtherIncarnation:
       return reject("orders_other_life", 412, "made for another life", &note);
   }
   counters_.Add("orders_taken");
--- a/src/lab/explore/explore.cpp
+++ b/src/lab/explore/explore.cpp
@@ -17,12 +17,12 @@
 
 using namespace std::chrono_literals;
 using owner::Action;
+using owner::CallResult;
 using owner::Claim;
 using owner::Fence;
 using owner::Journal;
 using owner::Moment;
 using owner::Term;
-using owner::Told;
 
 constexpr Moment kTick = 1s;
 constexpr int kSessionTicks = 2;
@@ -39,7 +39,7 @@
   Action action;  // of the claim
   Journal journal;
   int version = 0;
-  Told told = Told::kOk;
+  CallResult told = CallResult::kOk;
   std::vector<std::string> names;
   Term created = 0;
   owner::Session session = 0;
@@ -66,7 +66,7 @@
   Journal journal;
   int version = 0;
   int life = 0;  // of the place, as it was learnt before the step was meant
-  std::vector<std::pair<Order, Fence::Verdict>> verdicts;
+  std::vector<std::pair<Order, Fence::Decision>> verdicts;
 };
 
 struct World {
@@ -100,9 +100,9 @@
     for (int i = 0; i < bounds_.candidates; ++i) {
       owner::ClaimSettings settings;
       settings.id = std::string(1, static_cast<char>('a' + i));
-      settings.session = kTick * kSessionTicks;
-      settings.margin = guards_.margin ? kTick : Moment(0);
-      settings.rest = 2 * kTick;
+      settings.session_timeout = kTick * kSessionTicks;
+      settings.clock_margin = guards_.margin ? kTick : Moment(0);
+      settings.resign_cooldown = 2 * kTick;
       Candidate candidate;
       candidate.claim = Claim(settings);
       first.candidates.push_back(std::move(candidate));
@@ -145,7 +145,7 @@
         for (const Message& m : *queue) {
           for (const std::int64_t n :
                {static_cast<std::int64_t>(m.kind), static_cast<std::int64_t>(m.action.kind),
-                std::int64_t{m.kind == Message::Kind::kClaim && c.claim.Awaits(m.action.ticket)},
+                std::int64_t{m.kind == Message::Kind::kClaim && c.claim.IsPending(m.action.ticket)},
                 static_cast<std::int64_t>(m.told), m.journal.step, std::int64_t{m.journal.committed},
                 m.journal.term, std::int64_t{m.version}, m.created, m.session}) {
             Put(&out, n);
@@ -364,7 +364,7 @@
     if (c.session != 0 && w.heard[static_cast<size_t>(c.session)] < 0) {  // told that it has expired
       c.session = 0;
       c.open = false;
-      c.claim.Expired(Now(w), &out);
+      c.claim.OnSessionExpired(Now(w), &out);
       Do(w, i, out);
       return;
     }
@@ -372,7 +372,7 @@
       c.session = 1 + static_cast<owner::Session>(i) + c.lives++ * bounds_.candidates;
     }
     w.heard.at(static_cast<size_t>(c.session)) = w.now;
-    c.claim.Opened(Now(w), c.session, kTick * kSessionTicks, &out);
+    c.claim.OnConnected(Now(w), c.session, kTick * kSessionTicks, &out);
     Do(w, i, out);
     // An owner that was cut off in the middle of its work takes it up from the journal.
     if (c.work != Candidate::Work::kNone) {
@@ -388,7 +388,7 @@
     c.requests.clear();
     c.answers.clear();
     owner::Actions out;
-    c.claim.Interrupted(Now(w), &out);
+    c.claim.OnDisconnected(Now(w), &out);
     Do(w, i, out);
   }
 
@@ -407,7 +407,7 @@
   // A notice is told at once to whoever watches: that it waits is the same as the watcher being slow.
   void Notify(World& w, const std::string& name) {
     for (Candidate& c : w.candidates) {
-      if (!c.open || c.claim.watched() != name) continue;
+      if (!c.open || c.claim.predecessor() != name) continue;
       Message notice;
       notice.action.kind = Action::Kind::kEnd;  // stands for a notice here
       notice.action.name = name;
@@ -455,16 +455,16 @@
           m.created = n->created;
           m.session = n->session;
         } else {
-          m.told = Told::kAbsent;
+          m.told = CallResult::kAbsent;
         }
         break;
       case Action::Kind::kWatch:
       case Action::Kind::kConfirm:
-        if (Find(w, m.action.name) == nullptr) m.told = Told::kAbsent;
+        if (Find(w, m.action.name) == nullptr) m.told = CallResult::kAbsent;
         break;
       case Action::Kind::kRemove:
         if (Find(w, m.action.name) == nullptr) {
-          m.told = Told::kAbsent;
+          m.told = CallResult::kAbsent;
         } else {
           gone = m.action.name;
           std::erase_if(w.nodes, [&](const Node& n) { return n.name == gone; });
@@ -484,10 +484,10 @@
       return;
     }
     if ((guards_.check && Find(w, m.action.name) == nullptr) || (guards_.check && m.version != w.version)) {
-      m.told = Told::kAbsent;
+      m.told = CallResult::kAbsent;
       return;
     }
-    if (!owner::Follows(w.journal, m.journal) && wrong_.empty()) {
+    if (!owner::IsValidSuccessor(w.journal, m.journal) && wrong_.empty()) {
       wrong_ = "the journal goes from step " + std::to_string(w.journal.step) + " of term " +
                std::to_string(w.journal.term) + " to step " + std::to_string(m.journal.step) + " of term " +
                std::to_string(m.journal.term);
@@ -506,26 +506,26 @@
     if (m.kind != Message::Kind::kClaim) return Worked(w, i, m);
     switch (m.action.kind) {
       case Action::Kind::kList:
-        c.claim.Listed(now, ticket, m.told, m.names, &out);
+        c.claim.OnListed(now, ticket, m.told, m.names, &out);
         break;
       case Action::Kind::kCreate:
-        c.claim.Created(now, ticket, m.told, &out);
+        c.claim.OnCreated(now, ticket, m.told, &out);
         break;
       case Action::Kind::kRead:
-        c.claim.Read(now, ticket, m.told, m.created, m.session, &out);
+        c.claim.OnRead(now, ticket, m.told, m.created, m.session, &out);
         break;
       case Action::Kind::kWatch:
-        c.claim.Watched(now, ticket, m.told, &out);
+        c.claim.OnWatched(now, ticket, m.told, &out);
         break;
       case Action::Kind::kConfirm:
-        if (!guards_.sent_time) c.claim.ReckonFrom(now);
-        c.claim.Confirmed(now, ticket, m.told, &out);
+        if (!guards_.sent_time) c.claim.OverrideConfirmSentTime(now);
+        c.claim.OnConfirmed(now, ticket, m.told, &out);
         break;
       case Action::Kind::kRemove:
-        c.claim.Removed(now, ticket, m.told, &out);
+        c.claim.OnRemoved(now, ticket, m.told, &out);
         break;
       default:
-        c.claim.Gone(now, m.action.name, &out);
+        c.claim.OnNodeDeleted(now, m.action.name, &out);
     }
     Do(w, i, out);
   }
@@ -547,10 +547,10 @@
       c.version = m.version;
       c.work = W::kAsking;
     } else if (c.work == W::kMeaning && m.kind == Message::Kind::kMean) {
-      c.work = m.told == Told::kOk ? W::kOrdering : W::kNone;
+      c.work = m.told == CallResult::kOk ? W::kOrdering : W::kNone;
       c.version = m.version;
     } else if (c.work == W::kCommitting && m.kind == Message::Kind::kCommit) {
-      c.work = m.told == Told::kOk ? W::kAsking : W::kNone;
+      c.work = m.told == CallResult::kOk ? W::kAsking : W::kNone;
       c.version = m.version;
     }
   }
@@ -564,7 +564,7 @@
       Try(world, who + " learns the place's life and means a step", [&, i](World& w) {
         Candidate& me = w.candidates[i];
         me.life = w.life;
-        if (const auto next = me.journal.Mean(me.term, "")) {
+        if (const auto next = me.journal.PrepareStep(me.term, "")) {
           me.journal = *next;
           me.work = W::kMeaning;
           Ask(w, i, Message::Kind::kMean);
@@ -585,9 +585,9 @@
         const auto [order, verdict] = me.verdicts.front();
         me.verdicts.erase(me.verdicts.begin());
         if (order.term != me.term || order.step != me.journal.step) return;
-        if (verdict == Fence::Verdict::kOtherLife) {
+        if (verdict == Fence::Decision::kOtherIncarnation) {
           me.work = W::kAsking;  // the same step once more, for the new life
-        } else if (verdict == Fence::Verdict::kTake || verdict == Fence::Verdict::kRepeat) {
+        } else if (verdict == Fence::Decision::kAccept || verdict == Fence::Decision::kDuplicate) {
           if (const auto next = me.journal.Commit(me.term, "")) {
             me.journal = *next;
             me.work = W::kCommitting;
@@ -610,16 +610,16 @@
     const std::string life = guards_.life ? std::to_string(order.life) : "";
     const std::string own = guards_.life ? std::to_string(w.life) : "";
     Fence fence = w.fence;
-    Fence::Verdict verdict = fence.Judge(life, own, order.term, order.step);
-    if (!guards_.fence && verdict == Fence::Verdict::kOldTerm) verdict = Fence::Verdict::kTake;
-    if (!guards_.numbers && verdict == Fence::Verdict::kRepeat) verdict = Fence::Verdict::kTake;
+    Fence::Decision verdict = fence.Check(life, own, order.term, order.step);
+    if (!guards_.fence && verdict == Fence::Decision::kStaleTerm) verdict = Fence::Decision::kAccept;
+    if (!guards_.numbers && verdict == Fence::Decision::kDuplicate) verdict = Fence::Decision::kAccept;
     w.fence = fence;
-    if (verdict == Fence::Verdict::kOldTerm ||
-        (verdict == Fence::Verdict::kOtherLife && order.term < w.newest)) {
+    if (verdict == Fence::Decision::kStaleTerm ||
+        (verdict == Fence::Decision::kOtherIncarnation && order.term < w.newest)) {
       ++result_.refused;
     }
-    if (verdict == Fence::Verdict::kRepeat) ++result_.repeated;
-    if (verdict == Fence::Verdict::kTake) Take(w, order);
+    if (verdict == Fence::Decision::kDuplicate) ++result_.repeated;
+    if (verdict == Fence::Decision::kAccept) Take(w, order);
     Candidate& c = w.candidates[static_cast<size_t>(order.from)];
     if (c.work == Candidate::Work::kWaiting && c.term == order.term) c.verdicts.emplace_back(order, verdict);
   }
--- a/src/lab/fleet/evidence.cpp
+++ b/src/lab/fleet/evidence.cpp
@@ -169,7 +169,7 @@
         if (line.session != 0) Break("journal", "a journal that cannot be read was written", timeline());
         continue;
       }
-      if (!owner::Follows(duty.journal, *next)) {
+      if (!owner::IsValidSuccessor(duty.journal, *next)) {
         const bool older = next->term < duty.journal.term;
         const bool skipped = next->step > duty.journal.step + 1;
         Break(older     ? "older-after-newer"
--- a/src/lab/fleet/measure.cpp
+++ b/src/lab/fleet/measure.cpp
@@ -164,8 +164,8 @@
                 [this](nodes::Notice notice, const std::string& path) { runner->Noticed(notice, path); }}) {
     owner::ClaimSettings claim;
     claim.id = "n" + std::to_string(i);
-    claim.session = 20s;
-    claim.margin = 5s;
+    claim.session_timeout = 20s;
+    claim.clock_margin = 5s;
     runner = std::make_unique<agent::Runner>(
         agent::Runner::Parts{loop, client, paths, counters, log, {claim.id, "z", claim.id, "0"}, claim, {}},
         std::make_unique<IdleDuty>(), Span(0));
--- a/src/owner/claim.h
+++ b/src/owner/claim.h
@@ -34,19 +34,20 @@
 
 struct ClaimSettings {
   std::string id;  // of this life of this candidate; of the characters 0-9, a-z
-  Moment session{std::chrono::milliseconds(4000)};  // the session's time, as the service granted it
-  Moment margin{std::chrono::milliseconds(1000)};   // taken off it: clocks of two machines run a little apart
-  Moment rest{std::chrono::milliseconds(8000)};     // after a resignation, before it stands again
+  Moment session_timeout{std::chrono::milliseconds(4000)};  // the session's time, as the service granted it
+  Moment clock_margin{
+      std::chrono::milliseconds(1000)};  // taken off it: clocks of two machines run a little apart
+  Moment resign_cooldown{std::chrono::milliseconds(8000)};  // after a resignation, before it stands again
   friend bool operator==(const ClaimSettings&, const ClaimSettings&) = default;
 };
 
-enum class Why {
+enum class EndReason {
   kResigned,     // it was told to
   kLost,         // its node has gone: by hand, or with a session that another life of it ended
   kExpired,      // its session has run out
   kUnconfirmed,  // its time to act is over and the service has not confirmed it again
 };
-std::string_view WhyText(Why why);
+std::string_view EndReasonText(EndReason reason);
 
 // What is to be asked of the service, or said to whoever does the work. A ticket comes back with the answer;
 // an answer to any other but the newest ticket of its kind counts for nothing.
@@ -66,44 +67,44 @@
   std::uint64_t ticket = 0;
   std::string name;
   Term term = 0;
-  Why why = Why::kLost;
+  EndReason reason = EndReason::kLost;
   Moment at{};
 };
 using Actions = std::vector<Action>;
 
 // How a call ended: kUnknown where the connection broke, so that it may or may not have been done.
-enum class Told { kOk, kAbsent, kRefused, kUnknown };
+enum class CallResult { kOk, kAbsent, kRefused, kUnknown };
 
 class Claim {
  public:
   enum class State {
-    kAway,
-    kLooking,
+    kDisconnected,
+    kListing,
     kCreating,
     kWatching,
     kReading,
     kConfirming,
     kOwning,
-    kLeaving,
-    kResting
+    kResigning,
+    kCoolingDown
   };
 
   explicit Claim(ClaimSettings settings) : settings_(std::move(settings)) {}
 
   // A connection is up: with a new session, or with the one from before.
-  void Opened(Moment now, Session session, Moment granted, Actions* out);
+  void OnConnected(Moment now, Session session, Moment granted, Actions* out);
   // It broke; the session may live on.
-  void Interrupted(Moment now, Actions* out);
-  void Expired(Moment now, Actions* out);
-  void Listed(Moment now, std::uint64_t ticket, Told told, const std::vector<std::string>& names,
-              Actions* out);
-  void Created(Moment now, std::uint64_t ticket, Told told, Actions* out);
-  void Read(Moment now, std::uint64_t ticket, Told told, Term created, Session owner, Actions* out);
-  void Watched(Moment now, std::uint64_t ticket, Told told, Actions* out);
-  void Confirmed(Moment now, std::uint64_t ticket, Told told, Actions* out);
-  void Removed(Moment now, std::uint64_t ticket, Told told, Actions* out);
+  void OnDisconnected(Moment now, Actions* out);
+  void OnSessionExpired(Moment now, Actions* out);
+  void OnListed(Moment now, std::uint64_t ticket, CallResult result, const std::vector<std::string>& names,
+                Actions* out);
+  void OnCreated(Moment now, std::uint64_t ticket, CallResult result, Actions* out);
+  void OnRead(Moment now, std::uint64_t ticket, CallResult result, Term created, Session owner, Actions* out);
+  void OnWatched(Moment now, std::uint64_t ticket, CallResult result, Actions* out);
+  void OnConfirmed(Moment now, std::uint64_t ticket, CallResult result, Actions* out);
+  void OnRemoved(Moment now, std::uint64_t ticket, CallResult result, Actions* out);
   // A notice: that claim has gone.
-  void Gone(Moment now, std::string_view name, Actions* out);
+  void OnNodeDeleted(Moment now, std::string_view name, Actions* out);
   void Tick(Moment now, Actions* out);
   // Leave the duty to another; where it owns it, its work ends at once. It stands again after `rest`.
   void Resign(Moment now, Actions* out);
@@ -113,42 +114,42 @@
   Moment act_until() const { return act_until_; }
   // As a careless candidate would: its time reckoned from the answer. For the explorer and wrong stand-ins
   // alone, which show what comes of it.
-  void ReckonFrom(Moment answered) { asked_ = answered; }
+  void OverrideConfirmSentTime(Moment answered) { confirm_sent_ = answered; }
   State state() const { return state_; }
   Term term() const { return term_; }
-  const std::string& name() const { return own_; }  // of its node, once that is known
-  const std::string& watched() const { return before_; }
+  const std::string& name() const { return own_node_; }  // of its node, once that is known
+  const std::string& predecessor() const { return predecessor_; }
   const std::string& id() const { return id_; }
 
   friend bool operator==(const Claim&, const Claim&) = default;
   // All that decides what it does next, as text: for the explorer, which must not go the same way twice.
   // Tickets are left out; an answer is told by whether it is still awaited.
   void Print(std::string* out) const;
-  bool Awaits(std::uint64_t ticket) const { return ticket == ticket_; }
+  bool IsPending(std::uint64_t ticket) const { return ticket == ticket_; }
 
  private:
-  void Look(Actions* out);
-  void Confirm(Moment now, Actions* out);
-  void End(Why why, Actions* out);
-  void NewId();
-  std::uint64_t Ask(Action::Kind kind, const std::string& name, Actions* out);
+  void ListClaims(Actions* out);
+  void RequestConfirm(Moment now, Actions* out);
+  void EndOwnership(EndReason reason, Actions* out);
+  void ResetIdentity();
+  std::uint64_t Request(Action::Kind kind, const std::string& name, Actions* out);
   void WakeAt(Moment at, Actions* out);
-  void Try(Moment now, Actions* out);  // the same again, a little later
+  void RetryLater(Moment now, Actions* out);  // the same again, a little later
 
   ClaimSettings settings_;
-  State state_ = State::kAway;
-  bool open_ = false;  // a connection is up
+  State state_ = State::kDisconnected;
+  bool connected_ = false;  // a connection is up
   Session session_ = 0;
   std::string id_ = settings_.id;  // of this session: another session's node must not pass for ours
-  int lives_ = 0;
-  std::string own_, before_;
+  int sessions_ = 0;
+  std::string own_node_, predecessor_;
   Term term_ = 0;
-  bool begun_ = false;  // kBegin was said, and no kEnd since
-  Moment asked_{};      // when the confirming request was sent that is out
-  bool confirm_out_ = false;
+  bool begin_reported_ = false;  // kBegin was said, and no kEnd since
+  Moment confirm_sent_{};        // when the confirming request was sent that is out
+  bool confirm_in_flight_ = false;
   Moment act_until_{};
   Moment confirm_at_{};
-  Moment rest_until_{};
+  Moment cooldown_until_{};
   Moment retry_at_{};
   std::uint64_t ticket_ = 0;
 };
--- a/src/owner/fence.h
+++ b/src/owner/fence.h
@@ -20,21 +20,21 @@
 
 class Fence {
  public:
-  enum class Verdict {
-    kTake,       // new: do it
-    kRepeat,     // this very step was taken before: done, and not done again
-    kOldTerm,    // of an owner that has been replaced
-    kOldStep,    // overtaken by a later one
-    kOtherLife,  // made for an earlier life of this place
+  enum class Decision {
+    kAccept,            // new: do it
+    kDuplicate,         // this very step was taken before: done, and not done again
+    kStaleTerm,         // of an owner that has been replaced
+    kStaleStep,         // overtaken by a later one
+    kOtherIncarnation,  // made for an earlier life of this place
   };
-  Verdict Judge(std::string_view life, std::string_view own_life, Term term, Step step) {
-    if (life != own_life) return Verdict::kOtherLife;
-    if (term < term_) return Verdict::kOldTerm;
+  Decision Check(std::string_view incarnation, std::string_view own_incarnation, Term term, Step step) {
+    if (incarnation != own_incarnation) return Decision::kOtherIncarnation;
+    if (term < term_) return Decision::kStaleTerm;
     term_ = term;  // seen, whatever becomes of the step
-    if (step == step_) return Verdict::kRepeat;
-    if (step < step_) return Verdict::kOldStep;
+    if (step == step_) return Decision::kDuplicate;
+    if (step < step_) return Decision::kStaleStep;
     step_ = step;
-    return Verdict::kTake;
+    return Decision::kAccept;
   }
   Term term() const { return term_; }
   Step step() const { return step_; }
--- a/src/owner/journal.cpp
+++ b/src/owner/journal.cpp
@@ -5,7 +5,7 @@
 
 namespace umberdyke::owner {
 
-std::optional<Journal> Journal::Mean(Term by, std::string next_plan) const {
+std::optional<Journal> Journal::PrepareStep(Term by, std::string next_plan) const {
   if (by <= 0 || by < term) return std::nullopt;
   Journal next = *this;
   next.term = by;
@@ -27,17 +27,17 @@
   return next;
 }
 
-bool Follows(const Journal& before, const Journal& next) {
-  if (next.term < before.term) return false;
-  if (next.committed) return !before.committed && next.step == before.step && next.term == before.term;
-  if (before.committed) return next.step == before.step + 1;
-  return next.step == before.step && next.plan == before.plan;
+bool IsValidSuccessor(const Journal& previous, const Journal& next) {
+  if (next.term < previous.term) return false;
+  if (next.committed) return !previous.committed && next.step == previous.step && next.term == previous.term;
+  if (previous.committed) return next.step == previous.step + 1;
+  return next.step == previous.step && next.plan == previous.plan;
 }
 
-Moment Backoff::Failed() {
-  const Moment wait = first_ * (std::int64_t{1} << std::min(failures_, 16));
+Moment Backoff::OnFailure() {
+  const Moment wait = initial_ * (std::int64_t{1} << std::min(failures_, 16));
   ++failures_;
-  return std::min(wait, most_);
+  return std::min(wait, max_);
 }
 
 }  // namespace umberdyke::owner
--- a/src/owner/journal.h
+++ b/src/owner/journal.h
@@ -25,24 +25,25 @@
   std::string state;  // of the duty, as it was committed last
 
   // What the next writing would be; absent where it would break the order of steps or terms.
-  std::optional<Journal> Mean(Term by, std::string plan) const;     // the next step, or the same one again
+  std::optional<Journal> PrepareStep(Term by,
+                                     std::string plan) const;       // the next step, or the same one again
   std::optional<Journal> Commit(Term by, std::string state) const;  // the one that was meant, by its own term
   friend bool operator==(const Journal&, const Journal&) = default;
 };
 
 // Whether `next` may follow `before` in the service, by whoever wrote it: for judges.
-bool Follows(const Journal& before, const Journal& next);
+bool IsValidSuccessor(const Journal& previous, const Journal& next);
 
 // How long a duty that failed waits: doubled each time, bounded.
 class Backoff {
  public:
-  Backoff(Moment first, Moment most) : first_(first), most_(most) {}
-  Moment Failed();
-  void Worked() { failures_ = 0; }
+  Backoff(Moment initial, Moment max) : initial_(initial), max_(max) {}
+  Moment OnFailure();
+  void OnSuccess() { failures_ = 0; }
   int failures() const { return failures_; }
 
  private:
-  Moment first_, most_;
+  Moment initial_, max_;
   int failures_ = 0;
 };
 
--- a/tests/fleet/fleet_test.cpp
+++ b/tests/fleet/fleet_test.cpp
@@ -360,15 +360,16 @@
     auto duty = std::make_unique<Odd>(name, hangs, works);
     duties.push_back(duty.get());
     runners.push_back(std::make_unique<agent::Runner>(
-        agent::Runner::Parts{service.loop,
-                             client,
-                             paths,
-                             counters,
-                             *log,
-                             {"h", "z", "i", "0"},
-                             {.id = "i", .session = 2s, .margin = 500ms, .rest = 60s},
-                             {},
-                             100ms},
+        agent::Runner::Parts{
+            service.loop,
+            client,
+            paths,
+            counters,
+            *log,
+            {"h", "z", "i", "0"},
+            {.id = "i", .session_timeout = 2s, .clock_margin = 500ms, .resign_cooldown = 60s},
+            {},
+            100ms},
         std::move(duty), 0ms));
   }
   client.Start();
@@ -615,8 +616,8 @@
                        const std::string& data) {
     return lab::ServiceLine{what, "/f/duties/d/" + path, data, zxid, 1, zxid};
   };
-  owner::Journal meant = *owner::Journal().Mean(5, ""), done = *meant.Commit(5, "");
-  owner::Journal skips = *done.Mean(5, "");
+  owner::Journal meant = *owner::Journal().PrepareStep(5, ""), done = *meant.Commit(5, "");
+  owner::Journal skips = *done.PrepareStep(5, "");
   ++skips.step;
   lab::Evidence service;
   service.base = "/f";
@@ -630,7 +631,7 @@
   CHECK(lab::Judge(skipped).broken[0].first == "skipped");
   lab::Evidence late = service;
   late.service.push_back(line("deleted", "claims/c-a-0000000001", 8, ""));
-  late.service.push_back(line("set", "journal", 9, fleet::Print(*done.Mean(5, ""))));
+  late.service.push_back(line("set", "journal", 9, fleet::Print(*done.PrepareStep(5, ""))));
   CHECK(lab::Judge(late).broken[0].first == "not-the-owner");
   lab::Evidence lost = service;
   lost.asked.lost = 1;
