--- a/src/owner/claim.cpp
+++ b/src/owner/claim.cpp
@@ -1,3 +1,4 @@
+// The state machine of the leader election, see claim.h.
 #include "owner/claim.h"
 
 #include <algorithm>
@@ -8,8 +9,8 @@
 
 using namespace std::chrono_literals;
 
-constexpr Moment kRetryDelay = 100ms;   // after a call that failed, on a connection that stands
-constexpr int kConfirmsPerSession = 4;  // confirmations in a session's time
+constexpr Moment kRetryDelay = 100ms;   // after a failed call on a live connection
+constexpr int kConfirmsPerSession = 4;  // confirm requests per session timeout
 constexpr size_t kMaxDigits = 18;
 
 bool IsValidId(std::string_view id) {
@@ -77,7 +78,7 @@
   out->push_back({Action::Kind::kEnd, 0, own_node_, term_, reason, {}});
 }
 
-// Names of one session must not pass for those of the next: a node that its old session still holds will go.
+// A new id per session: a node that the old session still holds will be deleted with that session.
 void Claim::ResetIdentity() {
   ++sessions_;
   id_ = settings_.id + "." + std::to_string(sessions_);
@@ -91,7 +92,7 @@
 void Claim::OnConnected(Moment now, Session session, Moment granted, Actions* out) {
   connected_ = true;
   if (granted > Moment(0)) settings_.session_timeout = granted;
-  if (session_ != 0 && session != session_) {  // the old one ran out unheard
+  if (session_ != 0 && session != session_) {  // the old one expired without a report
     EndOwnership(EndReason::kExpired, out);
     ResetIdentity();
     state_ = State::kDisconnected;
@@ -106,16 +107,16 @@
     Request(Action::Kind::kRemove, own_node_, out);
     return;
   }
-  // An owner goes on while its time lasts; whether its node still stands is asked at once.
+  // An owner continues until its lease ends, but checks at once that its node still exists.
   if (state_ == State::kOwning) return RequestConfirm(now, out);
-  // A creation whose answer was lost shows in the list, by the id in its name.
+  // If the response to a create was lost, the list shows the node by the id in its name.
   ListClaims(out);
 }
 
 void Claim::OnDisconnected(Moment now, Actions* out) {
   connected_ = false;
   confirm_in_flight_ = false;
-  ++ticket_;  // answers that were out come no more
+  ++ticket_;  // ignore responses to requests in flight
   if (state_ == State::kOwning) return WakeAt(std::max(now, act_until_), out);
   if (state_ != State::kResigning) state_ = State::kDisconnected;
 }
@@ -132,13 +133,13 @@
 void Claim::OnListed(Moment now, std::uint64_t ticket, CallResult result,
                      const std::vector<std::string>& names, Actions* out) {
   if (ticket != ticket_ || state_ != State::kListing) return;
-  if (result == CallResult::kUnknown) return;  // the next connection looks again
+  if (result == CallResult::kUnknown) return;  // retried on the next connection
   if (result != CallResult::kOk) return RetryLater(now, out);
   std::vector<std::pair<std::int64_t, const std::string*>> claims;
   std::vector<const std::string*> own_claims;
   for (const std::string& name : names) {
     const auto claim = ReadClaimName(name);
-    if (!claim) continue;  // nobody's claim: tidying's concern
+    if (!claim) continue;  // not a claim; left to garbage collection
     claims.emplace_back(claim->number, &name);
     if (claim->id == id_) own_claims.push_back(&name);
   }
@@ -156,12 +157,12 @@
   const auto at = std::find_if(claims.begin(), claims.end(),
                                [&](const auto& c) { return ReadClaimName(*c.second)->id == id_; });
   own_node_ = *at->second;
-  if (now < cooldown_until_) {  // it resigned while this was being made
+  if (now < cooldown_until_) {  // it resigned while the create was in flight
     state_ = State::kResigning;
     Request(Action::Kind::kRemove, own_node_, out);
     return;
   }
-  // A creation that was believed lost, and came through late: one claim is enough. The lowest stays.
+  // A create that was taken for lost succeeded late. Keep only the claim with the lowest number.
   for (const std::string* extra : own_claims) {
     if (*extra != own_node_) out->push_back({Action::Kind::kRemove, 0, *extra, 0, EndReason::kLost, {}});
   }
@@ -179,14 +180,14 @@
   if (ticket != ticket_ || state_ != State::kCreating) return;
   if (result == CallResult::kUnknown) return;
   if (result == CallResult::kOk) return ListClaims(out);
-  state_ = State::kListing;  // the folder is not there, or not ours to write: asked again
+  state_ = State::kListing;  // the folder is missing or not writable: retry
   RetryLater(now, out);
 }
 
 void Claim::OnWatched(Moment now, std::uint64_t ticket, CallResult result, Actions* out) {
   if (ticket != ticket_ || state_ != State::kWatching) return;
   if (result == CallResult::kUnknown || result == CallResult::kOk) return;
-  if (result == CallResult::kAbsent) return ListClaims(out);  // it went in between
+  if (result == CallResult::kAbsent) return ListClaims(out);  // deleted since the list was read
   state_ = State::kListing;
   RetryLater(now, out);
 }
@@ -202,7 +203,7 @@
   if (ticket != ticket_ || state_ != State::kReading) return;
   if (result == CallResult::kUnknown) return;
   if (result == CallResult::kAbsent || (result == CallResult::kOk && owner != session_)) {
-    ResetIdentity();  // another session's node under our name, or none: no claim of ours
+    ResetIdentity();  // the node is missing or belongs to another session: not this claim
     return ListClaims(out);
   }
   if (result != CallResult::kOk || created <= 0) {
@@ -235,7 +236,8 @@
     confirm_at_ = now + kRetryDelay;
     return WakeAt(confirm_at_, out);
   }
-  // The service heard of the session after `asked_`, so it lets the session live for that long from then on.
+  // The service received the request after `confirm_sent_`, so the session lives at least its timeout from
+  // there.
   act_until_ = std::max(act_until_, confirm_sent_ + settings_.session_timeout - settings_.clock_margin);
   confirm_at_ = confirm_sent_ + settings_.session_timeout / kConfirmsPerSession;
   if (now < act_until_) {
@@ -243,7 +245,7 @@
     if (!std::exchange(begin_reported_, true))
       out->push_back({Action::Kind::kBegin, 0, own_node_, term_, EndReason::kLost, {}});
   } else {
-    confirm_at_ = now;  // the answer came too late to be worth anything
+    confirm_at_ = now;  // the response came after the lease had ended
   }
   WakeAt(std::max(now, std::min(confirm_at_, act_until_)), out);
 }
@@ -269,7 +271,7 @@
     case State::kConfirming:
     case State::kOwning:
       if (state_ == State::kOwning && now >= act_until_) {
-        // It may still be the owner, and knows nothing of it: no effect begins until it is confirmed.
+        // It may still be the owner, but no effect may begin until the service confirms it.
         EndOwnership(EndReason::kUnconfirmed, out);
         state_ = connected_ ? State::kConfirming : State::kDisconnected;
       }
@@ -302,7 +304,7 @@
   act_until_ = {};
   confirm_in_flight_ = false;
   if (own_node_.empty()) {
-    // A creation may be out: what it made shows in the list, and is removed from there.
+    // A create may be in flight: its node shows up in the next list and is removed then.
     if (state_ == State::kCoolingDown || state_ == State::kListing) {
       state_ = State::kCoolingDown;
       ++ticket_;
@@ -316,7 +318,7 @@
 
 void Claim::OnRemoved(Moment now, std::uint64_t ticket, CallResult result, Actions* out) {
   if (ticket != ticket_ || state_ != State::kResigning) return;
-  if (result == CallResult::kUnknown) return;  // asked again on the next connection
+  if (result == CallResult::kUnknown) return;  // retried on the next connection
   if (result == CallResult::kRefused) return RetryLater(now, out);
   ResetIdentity();
   state_ = State::kCoolingDown;
--- a/src/owner/claim.h
+++ b/src/owner/claim.h
@@ -1,13 +1,13 @@
-// One candidate's claim to one duty: who does work on behalf of the fleet, one at a time.
+// Leader election: one candidate's claim to own a duty, which is work that only one agent of the fleet does.
 //
-// The published recipe on a coordination service: each candidate keeps an ephemeral node with a number in its
-// name; the lowest owns the duty, and each of the others watches only the one before it. The owner's *term*
-// is the number of the transaction that created its node, so it only grows from one owner to the next.
+// Implements the usual ZooKeeper election recipe. Each candidate creates an ephemeral sequential node. The
+// lowest number owns the duty, and every other candidate watches only its predecessor. The owner's *term* is
+// the id of the transaction that created its node, so terms grow from one owner to the next.
 //
-// What this room is for: deciding what is asked of the service next, and until when an owner may act. It may
-// not know the service's protocol, processes, sockets or the decision module, and reads no clock: time comes
-// in, on a clock that also counts a suspended machine's time. An owner's own belief is never enough to keep
-// an old owner's work out; that is the fence's task (fence.h), where the effect lands.
+// src/owner decides which request to send to the coordination service next and until when an owner may act.
+// It knows nothing of the service's protocol, processes, sockets or the decision module, and reads no clock:
+// callers pass the time, from a clock that also runs while the machine is suspended. An owner's own view is
+// never enough to stop a replaced owner; the fence (fence.h) does that where the effect takes place.
 #ifndef UMBERDYKE_OWNER_CLAIM_H_
 #define UMBERDYKE_OWNER_CLAIM_H_
 
@@ -20,48 +20,48 @@
 
 namespace umberdyke::owner {
 
-using Moment = std::chrono::microseconds;  // since some origin, on the clock that counts suspension
+using Moment = std::chrono::microseconds;  // on a clock that runs during suspension; arbitrary origin
 using Term = std::int64_t;                 // above zero
 using Session = std::int64_t;              // above zero
 
-// A child of the duty's folder of claims: "c-ID-NUMBER". Absent where it is no such name.
+// The name of a node in the duty's claims folder: "c-ID-NUMBER".
 struct ClaimName {
   std::string id;
-  std::int64_t number = 0;  // given by the service, growing; ten digits or more
+  std::int64_t number = 0;  // sequence number from the service; ten digits or more
 };
+// Returns nullopt for any other name.
 std::optional<ClaimName> ReadClaimName(std::string_view name);
-std::string ClaimPrefix(std::string_view id);  // what the service puts its number behind
+std::string ClaimPrefix(std::string_view id);  // the service appends the sequence number
 
 struct ClaimSettings {
-  std::string id;  // of this life of this candidate; of the characters 0-9, a-z
-  Moment session_timeout{std::chrono::milliseconds(4000)};  // the session's time, as the service granted it
-  Moment clock_margin{
-      std::chrono::milliseconds(1000)};  // taken off it: clocks of two machines run a little apart
-  Moment resign_cooldown{std::chrono::milliseconds(8000)};  // after a resignation, before it stands again
+  std::string id;  // of this run of the candidate; characters 0-9, a-z
+  Moment session_timeout{std::chrono::milliseconds(4000)};  // as the service granted it
+  Moment clock_margin{std::chrono::milliseconds(1000)};     // subtracted from it for clock drift
+  Moment resign_cooldown{std::chrono::milliseconds(8000)};  // before it claims the duty again
   friend bool operator==(const ClaimSettings&, const ClaimSettings&) = default;
 };
 
 enum class EndReason {
-  kResigned,     // it was told to
-  kLost,         // its node has gone: by hand, or with a session that another life of it ended
-  kExpired,      // its session has run out
-  kUnconfirmed,  // its time to act is over and the service has not confirmed it again
+  kResigned,     // on request
+  kLost,         // its node was deleted by hand, or with a session that another run of it ended
+  kExpired,      // its session expired
+  kUnconfirmed,  // its lease ran out before the service confirmed it again
 };
 std::string_view EndReasonText(EndReason reason);
 
-// What is to be asked of the service, or said to whoever does the work. A ticket comes back with the answer;
-// an answer to any other but the newest ticket of its kind counts for nothing.
+// A request to the service, or a notification to the code that does the work. The response carries the
+// request's ticket; a response with any but the newest ticket is ignored.
 struct Action {
   enum class Kind {
-    kList,     // sync, then read the names of all claims; answer: Listed
-    kCreate,   // `name` is the prefix; ephemeral and sequential; answer: Created
-    kRead,     // the node `name`; answer: Read
-    kWatch,    // whether `name` is there, and a notice once it has gone; answer: Watched
-    kConfirm,  // a write that changes nothing and needs `name`; answer: Confirmed
-    kRemove,   // the node `name`; answer: Removed
-    kBegin,    // owner from now on, under `term`
-    kEnd,      // and no longer
-    kWake,     // Tick at `at`
+    kList,     // sync, then read the names of all claims; reported by OnListed
+    kCreate,   // create an ephemeral sequential node with prefix `name`; OnCreated
+    kRead,     // read the node `name`; OnRead
+    kWatch,    // check that `name` exists and watch for its deletion; OnWatched
+    kConfirm,  // a write without effect that requires `name` to exist; OnConfirmed
+    kRemove,   // delete the node `name`; OnRemoved
+    kBegin,    // ownership starts, under `term`
+    kEnd,      // ownership ends
+    kWake,     // call Tick at `at`
   };
   Kind kind;
   std::uint64_t ticket = 0;
@@ -72,7 +72,7 @@
 };
 using Actions = std::vector<Action>;
 
-// How a call ended: kUnknown where the connection broke, so that it may or may not have been done.
+// The result of a call. kUnknown: the connection broke, and the call may or may not have taken effect.
 enum class CallResult { kOk, kAbsent, kRefused, kUnknown };
 
 class Claim {
@@ -91,9 +91,9 @@
 
   explicit Claim(ClaimSettings settings) : settings_(std::move(settings)) {}
 
-  // A connection is up: with a new session, or with the one from before.
+  // The connection is up, with a new session or the previous one. `granted`: the session timeout.
   void OnConnected(Moment now, Session session, Moment granted, Actions* out);
-  // It broke; the session may live on.
+  // The connection broke; the session may still be alive.
   void OnDisconnected(Moment now, Actions* out);
   void OnSessionExpired(Moment now, Actions* out);
   void OnListed(Moment now, std::uint64_t ticket, CallResult result, const std::vector<std::string>& names,
@@ -103,27 +103,27 @@
   void OnWatched(Moment now, std::uint64_t ticket, CallResult result, Actions* out);
   void OnConfirmed(Moment now, std::uint64_t ticket, CallResult result, Actions* out);
   void OnRemoved(Moment now, std::uint64_t ticket, CallResult result, Actions* out);
-  // A notice: that claim has gone.
+  // A watch reported that the claim `name` was deleted.
   void OnNodeDeleted(Moment now, std::string_view name, Actions* out);
   void Tick(Moment now, Actions* out);
-  // Leave the duty to another; where it owns it, its work ends at once. It stands again after `rest`.
+  // Gives up the claim. An owner stops at once. Claims the duty again after `resign_cooldown`.
   void Resign(Moment now, Actions* out);
 
-  // May an effect begin now? Reckoned from when the confirming request was sent, never from its answer.
+  // Whether an effect may begin now. The lease runs from when the confirm request was sent, not answered.
   bool MayAct(Moment now) const { return state_ == State::kOwning && now < act_until_; }
   Moment act_until() const { return act_until_; }
-  // As a careless candidate would: its time reckoned from the answer. For the explorer and wrong stand-ins
-  // alone, which show what comes of it.
+  // Wrongly starts the lease at the response. Only for the explorer and faulty stand-ins, which show that
+  // this breaks mutual exclusion.
   void OverrideConfirmSentTime(Moment answered) { confirm_sent_ = answered; }
   State state() const { return state_; }
   Term term() const { return term_; }
-  const std::string& name() const { return own_node_; }  // of its node, once that is known
+  const std::string& name() const { return own_node_; }  // its node, empty until known
   const std::string& predecessor() const { return predecessor_; }
   const std::string& id() const { return id_; }
 
   friend bool operator==(const Claim&, const Claim&) = default;
-  // All that decides what it does next, as text: for the explorer, which must not go the same way twice.
-  // Tickets are left out; an answer is told by whether it is still awaited.
+  // Appends all state that decides the next action, as text; the explorer uses it to skip visited states.
+  // Tickets are left out: IsPending tells whether a response still counts.
   void Print(std::string* out) const;
   bool IsPending(std::uint64_t ticket) const { return ticket == ticket_; }
 
@@ -134,18 +134,19 @@
   void ResetIdentity();
   std::uint64_t Request(Action::Kind kind, const std::string& name, Actions* out);
   void WakeAt(Moment at, Actions* out);
-  void RetryLater(Moment now, Actions* out);  // the same again, a little later
+  void RetryLater(Moment now, Actions* out);  // after kRetryDelay
 
   ClaimSettings settings_;
   State state_ = State::kDisconnected;
-  bool connected_ = false;  // a connection is up
+  bool connected_ = false;
   Session session_ = 0;
-  std::string id_ = settings_.id;  // of this session: another session's node must not pass for ours
+  std::string id_ =
+      settings_.id;  // unique per session, so that another session's node is not taken for its own
   int sessions_ = 0;
   std::string own_node_, predecessor_;
   Term term_ = 0;
-  bool begin_reported_ = false;  // kBegin was said, and no kEnd since
-  Moment confirm_sent_{};        // when the confirming request was sent that is out
+  bool begin_reported_ = false;  // kBegin was sent, and no kEnd since
+  Moment confirm_sent_{};        // when the latest confirm request was sent
   bool confirm_in_flight_ = false;
   Moment act_until_{};
   Moment confirm_at_{};
--- a/src/owner/journal.cpp
+++ b/src/owner/journal.cpp
@@ -1,3 +1,4 @@
+// The transitions of the journal and the backoff, see journal.h.
 #include "owner/journal.h"
 
 #include <algorithm>
@@ -13,7 +14,7 @@
     if (step == INT64_MAX) return std::nullopt;
     ++next.step;
     next.plan = std::move(next_plan);
-  }  // else the one that was meant, as it was planned then
+  }  // else repeat the prepared step with its original plan
   next.committed = false;
   return next;
 }
--- a/tests/owner/owner_test.cpp
+++ b/tests/owner/owner_test.cpp
@@ -1,5 +1,5 @@
-// The claim, the fence and the journal by themselves, and all their interleavings within small bounds; each
-// guard taken out has to break what it guards.
+// Tests of the claim, the fence and the journal, alone and in all interleavings within small bounds. Each
+// safeguard is also disabled in turn, which the explorer must detect.
 #include <catch2/catch.hpp>
 
 #include "lab/explore/explore.h"
@@ -17,7 +17,7 @@
 using owner::Fence;
 using owner::Journal;
 
-TEST_CASE("names of claims are read whole or not at all", "[owner]") {
+TEST_CASE("malformed claim names are refused", "[owner]") {
   const std::string good = "c-a1b2.3-0000000012";
   REQUIRE(owner::ReadClaimName(good));
   CHECK(owner::ReadClaimName(good)->id == "a1b2.3");
@@ -31,7 +31,7 @@
   }
 }
 
-TEST_CASE("a fence takes each step once, and nothing of an older term or life", "[owner]") {
+TEST_CASE("a fence accepts each step once, and nothing of an older term or incarnation", "[owner]") {
   struct Case {
     const char* life;
     owner::Term term;
@@ -47,7 +47,7 @@
                          {"one", 7, 1, Fence::Decision::kStaleStep},
                          {"one", 6, 3, Fence::Decision::kStaleTerm},
                          {"zero", 9, 3, Fence::Decision::kOtherIncarnation},
-                         {"one", 8, 2, Fence::Decision::kDuplicate},  // done again by the next owner
+                         {"one", 8, 2, Fence::Decision::kDuplicate},  // repeated by the next owner
                          {"one", 7, 3, Fence::Decision::kStaleTerm},
                          {"one", kBig + 1, 3, Fence::Decision::kAccept},
                          {"one", kBig, 4, Fence::Decision::kStaleTerm},
@@ -58,29 +58,29 @@
   }
 }
 
-TEST_CASE("a journal goes on one step at a time, and a new owner does again what was only meant", "[owner]") {
+TEST_CASE("a journal advances one step at a time, and a new owner repeats an uncommitted step", "[owner]") {
   Journal journal;
   CHECK_FALSE(journal.Commit(5, ""));
-  const Journal meant = *journal.PrepareStep(5, "a");
-  CHECK((meant.step == 1 && !meant.committed && meant.plan == "a"));
-  CHECK_FALSE(meant.Commit(6, ""));        // of another term
-  CHECK_FALSE(meant.PrepareStep(4, "b"));  // of an older one
-  const Journal again = *meant.PrepareStep(6, "b");
+  const Journal prepared = *journal.PrepareStep(5, "a");
+  CHECK((prepared.step == 1 && !prepared.committed && prepared.plan == "a"));
+  CHECK_FALSE(prepared.Commit(6, ""));        // another term
+  CHECK_FALSE(prepared.PrepareStep(4, "b"));  // an older term
+  const Journal again = *prepared.PrepareStep(6, "b");
   CHECK((again.step == 1 && again.plan == "a" && again.term == 6));
   const Journal done = *again.Commit(6, "state");
   CHECK((done.committed && done.state == "state" && done.plan.empty()));
   CHECK(done.PrepareStep(6, "c")->step == 2);
-  CHECK(owner::IsValidSuccessor(journal, meant));
-  CHECK(owner::IsValidSuccessor(meant, again));
+  CHECK(owner::IsValidSuccessor(journal, prepared));
+  CHECK(owner::IsValidSuccessor(prepared, again));
   CHECK(owner::IsValidSuccessor(again, done));
   CHECK_FALSE(owner::IsValidSuccessor(journal, done));
-  CHECK_FALSE(owner::IsValidSuccessor(again, meant));
+  CHECK_FALSE(owner::IsValidSuccessor(again, prepared));
   Journal skips = *done.PrepareStep(6, "c");
   skips.step = 3;
   CHECK_FALSE(owner::IsValidSuccessor(done, skips));
 }
 
-// A claim driven by hand: what it asked for last.
+// Drives a claim and records the actions that it requests.
 struct ClaimDriver {
   Claim claim{{.id = "a", .session_timeout = 4s, .clock_margin = 1s, .resign_cooldown = 8s}};
   owner::Actions out;
@@ -102,7 +102,7 @@
   }
 };
 
-TEST_CASE("an owner's time is reckoned from when it asked", "[owner]") {
+TEST_CASE("a lease starts when the confirm request is sent", "[owner]") {
   ClaimDriver driver;
   driver.BecomeFirst("c-a-0000000001");
   const std::uint64_t ticket = driver.Last(Action::Kind::kConfirm)->ticket;
@@ -112,11 +112,11 @@
   CHECK(driver.Last(Action::Kind::kBegin)->term == 42);
   CHECK(driver.claim.MayAct(10s + 2999ms));
   CHECK_FALSE(driver.claim.MayAct(10s + 3s));
-  // A suspended machine wakes: the clock has gone on, and it says so before it does anything.
+  // After a suspension the clock has advanced, and ownership ends before anything else happens.
   driver.claim.Tick(10s + 1h, &driver.out);
   REQUIRE(driver.Last(Action::Kind::kEnd) != nullptr);
   CHECK(driver.Last(Action::Kind::kEnd)->reason == owner::EndReason::kUnconfirmed);
-  // An answer that comes after its time makes no owner.
+  // A response after the lease has ended does not start ownership.
   ClaimDriver late;
   late.BecomeFirst("c-a-0000000001");
   late.claim.OnConfirmed(late.now + 3s, late.Last(Action::Kind::kConfirm)->ticket, CallResult::kOk,
@@ -124,7 +124,7 @@
   CHECK(late.Count(Action::Kind::kBegin) == 0);
 }
 
-TEST_CASE("a creation whose answer was lost is found by its id and not made twice", "[owner]") {
+TEST_CASE("a create whose response was lost is found by its id and not repeated", "[owner]") {
   ClaimDriver driver;
   driver.claim.OnConnected(driver.now, 1, 4s, &driver.out);
   driver.claim.OnListed(driver.now, driver.out.back().ticket, CallResult::kOk, {"c-b-0000000001"},
@@ -136,8 +136,8 @@
   driver.claim.OnListed(driver.now, driver.out.back().ticket, CallResult::kOk,
                         {"c-a-0000000002", "c-b-0000000001"}, &driver.out);
   CHECK(driver.Count(Action::Kind::kCreate) == 1);
-  CHECK(driver.claim.predecessor() == "c-b-0000000001");  // the one before it, and no other
-  // It came through twice all the same: the lowest stays.
+  CHECK(driver.claim.predecessor() == "c-b-0000000001");  // only the predecessor
+  // Both creates succeeded after all: the lowest number stays.
   ClaimDriver twice;
   twice.claim.OnConnected(twice.now, 1, 4s, &twice.out);
   twice.claim.OnListed(twice.now, twice.out.back().ticket, CallResult::kOk,
@@ -147,7 +147,7 @@
   CHECK(twice.claim.name() == "c-a-0000000005");
 }
 
-TEST_CASE("whoever resigns while its claim is made leaves all the same, and rests", "[owner]") {
+TEST_CASE("a resignation during a create removes the claim and starts the cooldown", "[owner]") {
   ClaimDriver driver;
   driver.claim.OnConnected(driver.now, 1, 4s, &driver.out);
   driver.claim.OnListed(driver.now, driver.out.back().ticket, CallResult::kOk, {}, &driver.out);
@@ -188,7 +188,7 @@
   return text;
 }
 
-TEST_CASE("in every interleaving one owner acts, and no effect is late, double or skipped",
+TEST_CASE("in every interleaving one owner acts, and no effect is late, duplicated or skipped",
           "[owner][explore]") {
   lab::ExploreBounds three = SmallBounds(0, 1, 0, 0, 0, 0);
   three.candidates = 3;
@@ -208,11 +208,11 @@
                 static_cast<unsigned long long>(explored.takeovers),
                 static_cast<unsigned long long>(explored.refused));
   }
-  CHECK(refused > 0);  // the danger arose
+  CHECK(refused > 0);  // stale orders did occur
   CHECK(repeated > 0);
 }
 
-TEST_CASE("each guard taken out is found out", "[owner][explore]") {
+TEST_CASE("the explorer detects each disabled safeguard", "[owner][explore]") {
   struct Case {
     const char* name;
     lab::Guards guards;
