--- a/src/agent/agent.cpp
+++ b/src/agent/agent.cpp
@@ -69,9 +69,9 @@
       self_{settings_.host, settings_.zone, DrawInstance(), UMBERDYKE_VERSION},
       client_(loop, ClientOf(settings_),
               {[this](nodes::Session session) { OnSession(session); },
-               [this](nodes::Notice notice, const std::string& path) { OnNotice(notice, path); }}),
+               [this](nodes::WatchEvent notice, const std::string& path) { OnNotice(notice, path); }}),
       again_(loop, [this] { SetUp(); }),
-      renew_(loop, [this] { client_.Renew(); }),
+      renew_(loop, [this] { client_.StartNewSession(); }),
       end_(loop, [this] {
         client_.Stop();
         if (ended_) std::exchange(ended_, nullptr)();
@@ -176,7 +176,7 @@
   }
 }
 
-void Agent::OnNotice(nodes::Notice notice, const std::string& path) {
+void Agent::OnNotice(nodes::WatchEvent notice, const std::string& path) {
   for (const auto& runner : runners_) runner->Noticed(notice, path);
 }
 
@@ -253,7 +253,7 @@
     if (run == run_ && rc == nodes::kNodeExists) client_.Set(path, record, [](int) {});
   });
   opened_ = true;
-  for (const auto& runner : runners_) runner->Opened(client_.session_id(), client_.session_time());
+  for (const auto& runner : runners_) runner->Opened(client_.session_id(), client_.session_timeout());
   if (hands_) hands_->Opened();
 }
 
--- a/src/agent/agent.h
+++ b/src/agent/agent.h
@@ -38,7 +38,7 @@
 
  private:
   void OnSession(nodes::Session session);
-  void OnNotice(nodes::Notice notice, const std::string& path);
+  void OnNotice(nodes::WatchEvent notice, const std::string& path);
   void SetUp();
   void Make(size_t next);
   void CheckRoot();
--- a/src/agent/hands.cpp
+++ b/src/agent/hands.cpp
@@ -179,7 +179,7 @@
     if (!node) return Over(round);
     seen.listed = true;
     seen.draining = node->draining;
-    seen.birth = stat.birth;
+    seen.birth = stat.created_zxid;
     if (!seen.draining) return Over(round);
     // What was told to leave has its time first; then nothing may be under way.
     Waiting& waiting = waiting_[permit.unit];
--- a/src/agent/rollout.cpp
+++ b/src/agent/rollout.cpp
@@ -229,7 +229,7 @@
           rollout::Seen& seen = reading->look.sights[name];
           seen.heard = true;  // the service answered; without a node it is down
           seen.able = node && !node->draining;
-          seen.life = std::to_string(stat.birth);
+          seen.life = std::to_string(stat.created_zxid);
           Over(reading, next);
         });
   }
--- a/src/agent/runner.cpp
+++ b/src/agent/runner.cpp
@@ -97,10 +97,10 @@
   Tell([](owner::Claim& c, owner::Moment now, owner::Actions* out) { c.OnSessionExpired(now, out); });
 }
 
-void Runner::Noticed(nodes::Notice notice, const std::string& path) {
+void Runner::Noticed(nodes::WatchEvent notice, const std::string& path) {
   if (path == parts_.paths.Resign(name_)) return ReadWish();
   const std::string claims = parts_.paths.Claims(name_) + "/";
-  if (notice != nodes::Notice::kDeleted || !path.starts_with(claims)) return;
+  if (notice != nodes::WatchEvent::kDeleted || !path.starts_with(claims)) return;
   const std::string name = path.substr(claims.size());
   if (name == claim_.predecessor()) gone_ = Clock::now();
   Tell([&](owner::Claim& c, owner::Moment now, owner::Actions* out) { c.OnNodeDeleted(now, name, out); });
@@ -154,7 +154,7 @@
       return client.Exists(path, false, [this, alive, ticket](int rc, const NodeStat& stat) {
         if (alive.expired()) return;
         Tell([&](owner::Claim& c, owner::Moment now, owner::Actions* out) {
-          c.OnRead(now, ticket, ToldBy(rc), stat.birth, stat.owner, out);
+          c.OnRead(now, ticket, ToldBy(rc), stat.created_zxid, stat.owner, out);
         });
       });
     case Action::Kind::kWatch: {
--- a/src/agent/runner.h
+++ b/src/agent/runner.h
@@ -51,7 +51,7 @@
   void Opened(owner::Session session, net::Span granted);
   void Interrupted();
   void Expired();
-  void Noticed(nodes::Notice notice, const std::string& path);
+  void Noticed(nodes::WatchEvent notice, const std::string& path);
   void Resign();
 
   const Duty& duty() const { return *duty_; }
--- a/src/fleet/caller.cpp
+++ b/src/fleet/caller.cpp
@@ -17,9 +17,9 @@
   settings.auth = std::get<std::string>(auth);
   client_ = std::make_unique<nodes::NodeClient>(
       loop_, settings,
-      nodes::NodeClient::Owner{
+      nodes::NodeClient::Callbacks{
           [this](nodes::Session session) { refused_ |= session == nodes::Session::kAuthFailed; },
-          [](nodes::Notice, const std::string&) {}});
+          [](nodes::WatchEvent, const std::string&) {}});
   client_->Start();
   Wait([&] { return client_->connected() || refused_; });
   if (refused_) throw Unreadable{"the coordination service refuses user and password"};
--- a/src/fleet/view.cpp
+++ b/src/fleet/view.cpp
@@ -48,7 +48,7 @@
     const std::string text = caller.Get(path, &there, &stat);
     if (!there) continue;  // it went while we looked
     Take(ReadAgent(text), &stander.agent, path, &view.troubles);
-    stander.term = stat.birth;
+    stander.term = stat.created_zxid;
     view.standers.push_back(std::move(stander));
   }
   NodeStat stat;
--- a/src/jute/requests.h
+++ b/src/jute/requests.h
@@ -27,7 +27,7 @@
   kClose = -11,
 };
 
-constexpr std::int32_t kNoticeXid = -1, kPingXid = -2, kAuthXid = -4, kWatchesXid = -8;
+constexpr std::int32_t kWatchEventXid = -1, kPingXid = -2, kAuthXid = -4, kSetWatchesXid = -8;
 
 }  // namespace umberdyke::jute
 
--- a/src/lab/fleet/measure.cpp
+++ b/src/lab/fleet/measure.cpp
@@ -155,13 +155,14 @@
 struct Candidate {
   Candidate(net::Loop& loop, const std::vector<std::string>& servers, const fleet::Paths& paths,
             log::Log& log, int i)
-      : client(loop, Settings(servers),
-               {[this](nodes::Session session) {
-                  if (session == nodes::Session::kConnected)
-                    runner->Opened(client.session_id(), client.session_time());
-                  if (session == nodes::Session::kInterrupted) runner->Interrupted();
-                },
-                [this](nodes::Notice notice, const std::string& path) { runner->Noticed(notice, path); }}) {
+      : client(
+            loop, Settings(servers),
+            {[this](nodes::Session session) {
+               if (session == nodes::Session::kConnected)
+                 runner->Opened(client.session_id(), client.session_timeout());
+               if (session == nodes::Session::kInterrupted) runner->Interrupted();
+             },
+             [this](nodes::WatchEvent notice, const std::string& path) { runner->Noticed(notice, path); }}) {
     owner::ClaimSettings claim;
     claim.id = "n" + std::to_string(i);
     claim.session_timeout = 20s;
--- a/src/lab/membership/stand_in.cpp
+++ b/src/lab/membership/stand_in.cpp
@@ -87,7 +87,7 @@
       again_(loop, [this] {
         if (client_ == nullptr) return;
         if (std::exchange(expired_, false)) {
-          client_->Renew();
+          client_->StartNewSession();
         } else {
           Register();
         }
@@ -114,12 +114,12 @@
   started_ms_ = std::chrono::duration_cast<std::chrono::milliseconds>(now).count();
   client_ = std::make_unique<nodes::NodeClient>(
       loop_, client_settings_,
-      nodes::NodeClient::Owner{[this](nodes::Session session) {
-                                 if (session == nodes::Session::kConnected) Register();
-                                 expired_ = session == nodes::Session::kExpired;
-                                 if (expired_) again_.Start(20ms);
-                               },
-                               [](nodes::Notice, const std::string&) {}});
+      nodes::NodeClient::Callbacks{[this](nodes::Session session) {
+                                     if (session == nodes::Session::kConnected) Register();
+                                     expired_ = session == nodes::Session::kExpired;
+                                     if (expired_) again_.Start(20ms);
+                                   },
+                                   [](nodes::WatchEvent, const std::string&) {}});
   client_->Start();
 }
 
--- a/src/membership/nodes_source.cpp
+++ b/src/membership/nodes_source.cpp
@@ -62,11 +62,11 @@
       children_timer_(loop, [this] { ReadChildren(); }),
       publish_timer_(loop, [this] { Publish(); }),
       tick_timer_(loop, [this] { RunReconciler(); }),
-      renew_timer_(loop, [this] { client_.Renew(); }),
+      renew_timer_(loop, [this] { client_.StartNewSession(); }),
       register_timer_(loop, [this] { Register(); }),
       client_(loop, ClientSettingsOf(settings),
               {[this](nodes::Session session) { OnSession(session); },
-               [this](nodes::Notice notice, const std::string& path) { OnWatchEvent(notice, path); }}) {
+               [this](nodes::WatchEvent notice, const std::string& path) { OnWatchEvent(notice, path); }}) {
   // The list that the sidecar starts with is valid until the service reports otherwise, and is protected
   // against mass removals like any other.
   for (const ListedServer& server : known.servers) {
@@ -137,7 +137,7 @@
   }
 }
 
-void NodesSource::OnWatchEvent(nodes::Notice notice, const std::string& path) {
+void NodesSource::OnWatchEvent(nodes::WatchEvent notice, const std::string& path) {
   counters_.Add("membership_notices");
   if (path == settings_.path) {
     children_read_due_ = true;
@@ -148,10 +148,10 @@
   }
   if (!path.starts_with(settings_.path + "/")) return;
   const std::string name = path.substr(settings_.path.size() + 1);
-  if (notice == nodes::Notice::kDeleted) {
+  if (notice == nodes::WatchEvent::kDeleted) {
     OnNodeDeleted(name);
     SchedulePublish();
-  } else if (notice == nodes::Notice::kChanged) {
+  } else if (notice == nodes::WatchEvent::kChanged) {
     ReadNode(name);
   }
 }
@@ -190,7 +190,7 @@
   }
   const std::uint64_t stale_before = reconciler_.counts().stale_views;
   // A node missing from the view is handled like a deletion event. Its data is kept while it may be needed.
-  const std::vector<std::string> wanted = reconciler_.OnNodeList(Clock::now(), stat.listed, names);
+  const std::vector<std::string> wanted = reconciler_.OnNodeList(Clock::now(), stat.children_zxid, names);
   for (auto it = servers_by_node_.begin(); it != servers_by_node_.end();) {
     if (reconciler_.HasNode(it->first)) {
       ++it;
@@ -236,11 +236,11 @@
   } else if (const auto server = platform_.ParseMember(data, name)) {
     const bool draining = server->state != UpstreamState::kReady;
     servers_by_node_[name] = *server;
-    reconciler_.OnNodeData(now, name, {server->id, PrintAddress(server->address), draining}, stat.birth,
-                           stat.changed);
+    reconciler_.OnNodeData(now, name, {server->id, PrintAddress(server->address), draining},
+                           stat.created_zxid, stat.modified_zxid);
   } else {
     counters_.Add("membership_malformed");
-    reconciler_.OnMalformedData(now, name, stat.birth, stat.changed);
+    reconciler_.OnMalformedData(now, name, stat.created_zxid, stat.modified_zxid);
   }
   SchedulePublish();
 }
--- a/src/membership/nodes_source.h
+++ b/src/membership/nodes_source.h
@@ -29,7 +29,7 @@
 
  private:
   void OnSession(nodes::Session session);
-  void OnWatchEvent(nodes::Notice notice, const std::string& path);
+  void OnWatchEvent(nodes::WatchEvent notice, const std::string& path);
   void ReadChildren();
   void ReadNode(const std::string& name);
   void OnChildren(int rc, const std::vector<std::string>& names, const nodes::NodeStat& stat);
--- a/src/site/site_settings.cpp
+++ b/src/site/site_settings.cpp
@@ -7,7 +7,7 @@
 namespace umberdyke {
 namespace {
 
-bool Parse(std::string_view text, auto* value) {
+bool ParseNumber(std::string_view text, auto* value) {
   const auto [end, error] = std::from_chars(text.data(), text.data() + text.size(), *value);
   return error == std::errc() && end == text.data() + text.size();
 }
@@ -21,46 +21,46 @@
     const auto it = values_.find(name);
     return it == values_.end() ? std::string_view() : std::string_view(it->second);
   }
-  double Number(const std::string& name, double absent) const {
+  double Number(const std::string& name, double default_value) const {
     const std::string_view text = Text(name);
-    double value = absent;
-    if (!text.empty() && !Parse(text, &value)) Bad(name);
+    double value = default_value;
+    if (!text.empty() && !ParseNumber(text, &value)) ThrowUnreadable(name);
     return value;
   }
-  std::int64_t Integer(const std::string& name, std::int64_t absent) const {
+  std::int64_t Integer(const std::string& name, std::int64_t default_value) const {
     const std::string_view text = Text(name);
-    std::int64_t value = absent;
-    if (text.empty() || Parse(text, &value)) return value;
+    std::int64_t value = default_value;
+    if (text.empty() || ParseNumber(text, &value)) return value;
     const double number = Number(name, 0);
-    if (!std::isfinite(number) || std::abs(number) > 9e15) Bad(name);
+    if (!std::isfinite(number) || std::abs(number) > 9e15) ThrowUnreadable(name);
     return static_cast<std::int64_t>(number);
   }
-  bool Flag(const std::string& name, bool absent) const {
+  bool Flag(const std::string& name, bool default_value) const {
     const std::string_view text = Text(name);
-    if (text.empty()) return absent;
+    if (text.empty()) return default_value;
     if (text == "1" || text == "true") return true;
     if (text == "0" || text == "false") return false;
-    Bad(name);
+    ThrowUnreadable(name);
   }
 
  private:
-  [[noreturn]] static void Bad(const std::string& name) { throw SettingError(name); }
+  [[noreturn]] static void ThrowUnreadable(const std::string& name) { throw SettingError(name); }
   const SettingPairs& values_;
 };
 
-RequestClass ReadClass(const SettingsReader& reader, const std::string& at) {
+RequestClass ReadClass(const SettingsReader& reader, const std::string& prefix) {
   RequestClass c;
-  const std::string_view semantics = reader.Text(at + "semantics");
+  const std::string_view semantics = reader.Text(prefix + "semantics");
   c.repeat = semantics == "pure" ? Repeat::kSafe : semantics == "token" ? Repeat::kKeyed : Repeat::kUnsafe;
-  const std::string_view group = reader.Text(at + "group");
+  const std::string_view group = reader.Text(prefix + "group");
   c.group = group == "zone" ? Group::kZone : group == "all" ? Group::kAll : Group::kCell;
-  c.window = reader.Integer(at + "window_us", 0);
-  c.aim = reader.Integer(at + "target_us", 0);
-  c.deadline = reader.Integer(at + "hard_limit_us", 0);
-  c.points = reader.Number(at + "points", 1);
-  c.aim_stretch = reader.Number(at + "aim_stretch", 0);
-  c.late_share = reader.Number(at + "late_share", 0);
-  c.stream = reader.Flag(at + "stream", false);
+  c.window = reader.Integer(prefix + "window_us", 0);
+  c.aim = reader.Integer(prefix + "target_us", 0);
+  c.deadline = reader.Integer(prefix + "hard_limit_us", 0);
+  c.points = reader.Number(prefix + "points", 1);
+  c.aim_stretch = reader.Number(prefix + "aim_stretch", 0);
+  c.late_share = reader.Number(prefix + "late_share", 0);
+  c.stream = reader.Flag(prefix + "stream", false);
   return c;
 }
 
--- a/src/site/site_settings.h
+++ b/src/site/site_settings.h
@@ -18,7 +18,8 @@
 
 class SettingError : public std::runtime_error {
  public:
-  explicit SettingError(const std::string& n) : std::runtime_error("setting is unreadable: " + n), name(n) {}
+  explicit SettingError(const std::string& setting)
+      : std::runtime_error("setting is unreadable: " + setting), name(setting) {}
   const std::string name;
 };
 
--- a/src/zookeeper/node_client.h
+++ b/src/zookeeper/node_client.h
@@ -53,9 +53,9 @@
 
 // What a read tells of a node besides its data.
 struct NodeStat {
-  std::int64_t birth = 0;    // the transaction that created it
-  std::int64_t changed = 0;  // that last changed its data
-  std::int64_t listed = 0;   // that last changed its list of children
+  std::int64_t created_zxid = 0;   // the transaction that created it
+  std::int64_t modified_zxid = 0;  // that last changed its data
+  std::int64_t children_zxid = 0;  // that last changed its list of children
   int version = 0;
   std::int64_t owner = 0;        // session of an ephemeral node
   std::int64_t modified_ms = 0;  // by the service's clock; to be shown, and to decide nothing
@@ -70,16 +70,16 @@
   int version = -1;  // that the node must have; any
 };
 
-enum class Notice { kCreated, kDeleted, kChanged, kChildren };
+enum class WatchEvent { kCreated, kDeleted, kChanged, kChildren };
 
 class NodeClient : private net::StreamCallbacks {
  public:
-  struct Owner {
+  struct Callbacks {
     std::function<void(Session)> session;
     // One for each watch that was set; a reconnect tells what was missed.
-    std::function<void(Notice, const std::string& path)> notice;
+    std::function<void(WatchEvent, const std::string& path)> watch_event;
   };
-  NodeClient(net::Loop& loop, ClientSettings settings, Owner owner);
+  NodeClient(net::Loop& loop, ClientSettings settings, Callbacks callbacks);
   ~NodeClient();
   NodeClient(const NodeClient&) = delete;
   NodeClient& operator=(const NodeClient&) = delete;
@@ -90,7 +90,7 @@
   // As when the process dies: the connection breaks without a word, and the session is left to run out.
   void Abandon();
   // The session has expired: a new one. Its watches and ephemeral nodes are gone with the old one.
-  void Renew();
+  void StartNewSession();
 
   using OnNames = std::function<void(int rc, std::vector<std::string> names, const NodeStat& stat)>;
   using OnContent = std::function<void(int rc, std::string data, const NodeStat& stat)>;
@@ -104,7 +104,7 @@
   // As Children and Get, and no watch is set.
   void Names(const std::string& path, OnNames done);
   void Read(const std::string& path, OnContent done);
-  // `watch`: a notice once it is created, changed or gone, whether it is there now or not.
+  // `watch`: a watch event once it is created, changed or gone, whether it is there now or not.
   void Exists(const std::string& path, bool watch, std::function<void(int rc, const NodeStat& stat)> done);
   void CreateNode(const std::string& path, const std::string& data, OnDone done);  // persistent
   // An ephemeral node whose name is the prefix and a number that the service draws, growing. Where the answer
@@ -119,10 +119,10 @@
 
   bool connected() const { return state_ == State::kConnected; }
   std::int64_t session_id() const { return session_; }
-  net::Span session_time() const { return timeout_; }  // as the service granted it
+  net::Span session_timeout() const { return session_timeout_; }  // as the service granted it
 
  private:
-  enum class State { kStopped, kWaiting, kConnecting, kShaking, kConnected };
+  enum class State { kStopped, kWaiting, kConnecting, kHandshaking, kConnected };
   struct Call {
     std::int32_t xid;
     std::function<void(int rc, jute::Reader& in)> done;
@@ -130,37 +130,38 @@
 
   void OnConnected(bool ok) override;
   void OnData(std::string_view bytes) override;
-  void OnEnd() override { Lost(); }
+  void OnEnd() override { OnConnectionLost(); }
   void OnWritten(bool ok) override {
-    if (!ok) Lost();
+    if (!ok) OnConnectionLost();
   }
 
   void Connect();
-  void Drop();
-  void ForgetSession();
-  void Lost();
-  void TakeHandshake(jute::Reader& in);
-  void TakeReply(jute::Reader& in);
-  void TakeNotice(jute::Reader& in);
-  void Due();
+  void CloseConnection();
+  void ClearSession();
+  void OnConnectionLost();
+  void HandleHandshake(jute::Reader& in);
+  void HandleReply(jute::Reader& in);
+  void HandleWatchEvent(jute::Reader& in);
+  void OnTimer();
   void Send(const jute::Writer& message);
-  void Ask(std::int32_t type, const jute::Writer& body, std::function<void(int rc, jute::Reader& in)> done);
+  void SendRequest(std::int32_t type, const jute::Writer& body,
+                   std::function<void(int rc, jute::Reader& in)> done);
   void Create(const std::string& path, const std::string& data, int flags,
               std::function<void(int rc, const std::string& path)> done);
-  void PutAcl(bool own, jute::Writer* body) const;
+  void WriteAcl(bool own, jute::Writer* body) const;
   template <typename Content>
-  void ReadWatched(std::int32_t type, const std::string& path, Content (jute::Reader::*take)(),
-                   std::set<std::string>* watches, std::function<void(int, Content, const NodeStat&)> done);
+  void ReadNode(std::int32_t type, const std::string& path, Content (jute::Reader::*read)(),
+                std::set<std::string>* watches, std::function<void(int, Content, const NodeStat&)> done);
   void SetWatches();
-  void EndCalls(int rc);
-  std::string Full(const std::string& path) const { return settings_.chroot + path; }
+  void FailCalls(int rc);
+  std::string FullPath(const std::string& path) const { return settings_.chroot + path; }
 
   net::Loop& loop_;
   const ClientSettings settings_;
-  const Owner owner_;
+  const Callbacks callbacks_;
   std::vector<net::Address> servers_;
-  size_t next_ = 0;
-  int failed_ = 0;  // addresses tried in a row
+  size_t next_server_ = 0;
+  int failed_attempts_ = 0;  // addresses tried in a row
   State state_ = State::kStopped;
   std::unique_ptr<net::Stream> stream_;
   std::string buffer_;
@@ -168,13 +169,13 @@
   std::int32_t xid_ = 0;
   std::int64_t session_ = 0;
   std::string password_;
-  std::int64_t seen_ = 0;  // the latest transaction that was told
-  net::Span timeout_{};
-  net::Time heard_{}, sent_{};
+  std::int64_t last_zxid_ = 0;  // the latest transaction that was told
+  net::Span session_timeout_{};
+  net::Time last_received_{}, last_sent_{};
   std::set<std::string> data_watches_, exists_watches_, child_watches_;
   std::mt19937_64 random_;
   net::Timer timer_;
-  std::shared_ptr<char> alive_ = std::make_shared<char>();
+  std::shared_ptr<char> liveness_ = std::make_shared<char>();
 };
 
 }  // namespace umberdyke::nodes
--- a/tests/fleet/fleet_test.cpp
+++ b/tests/fleet/fleet_test.cpp
@@ -39,7 +39,7 @@
       : loop(l),
         client(l, {ensemble.addresses(), "", session, ""},
                {[this](nodes::Session s) { last = s; },
-                [this](nodes::Notice n, const std::string& path) { notices.emplace_back(n, path); }}) {
+                [this](nodes::WatchEvent n, const std::string& path) { notices.emplace_back(n, path); }}) {
     client.Start();
     loop.RunUntil([&] { return client.connected(); }, 5s);
   }
@@ -75,7 +75,7 @@
     loop.RunUntil([&] { return text.has_value(); }, 5s);
     return text.value_or("no answer");
   }
-  bool Noticed(nodes::Notice notice, const std::string& path) {
+  bool Noticed(nodes::WatchEvent notice, const std::string& path) {
     const std::pair wanted(notice, path);
     return loop.RunUntil([&] { return std::find(notices.begin(), notices.end(), wanted) != notices.end(); },
                          5s);
@@ -83,7 +83,7 @@
   net::Loop& loop;
   std::optional<nodes::Session> last;
   std::vector<int> each;
-  std::vector<std::pair<nodes::Notice, std::string>> notices;
+  std::vector<std::pair<nodes::WatchEvent, std::string>> notices;
   NodeClient client;
 };
 
@@ -118,7 +118,7 @@
   CHECK(hand.Multi({{Op::Kind::kDelete, "/f/x", "", 1}}) == nodes::kOk);
   CHECK(hand.Exists("/f/x", true) == nodes::kNoNode);
   service.Make("/f/x", "again");
-  CHECK(hand.Noticed(nodes::Notice::kCreated, "/f/x"));
+  CHECK(hand.Noticed(nodes::WatchEvent::kCreated, "/f/x"));
 }
 
 TEST_CASE("a lost answer leaves what was committed, and a change of leader the session", "[fleet]") {
@@ -137,11 +137,11 @@
   nodes::NodeStat stat;
   REQUIRE(hand.Sequential("/f/c-a-") == "/f/c-a-0000000001");
   CHECK(hand.Exists("/f/c-a-0000000001", false, &stat) == nodes::kOk);
-  CHECK(stat.birth >> 32 == 1);  // beyond 2^32
+  CHECK(stat.created_zxid >> 32 == 1);  // beyond 2^32
   service.Do("zxid " + std::to_string(INT64_MAX - 10));
   REQUIRE(hand.Sequential("/f/c-a-") == "/f/c-a-0000000002");
   CHECK(hand.Exists("/f/c-a-0000000002", false, &stat) == nodes::kOk);
-  CHECK(stat.birth == INT64_MAX - 9);
+  CHECK(stat.created_zxid == INT64_MAX - 9);
 }
 
 TEST_CASE("a member cut off answers reads and pings, and no write; without a majority nobody serves",
@@ -344,9 +344,9 @@
   nodes::NodeClient client(service.loop, {service.ensemble.addresses(), "", 2000ms, ""},
                            {[&](nodes::Session session) {
                               if (session != nodes::Session::kConnected) return;
-                              for (auto& r : runners) r->Opened(raw->session_id(), raw->session_time());
+                              for (auto& r : runners) r->Opened(raw->session_id(), raw->session_timeout());
                             },
-                            [&](nodes::Notice n, const std::string& path) {
+                            [&](nodes::WatchEvent n, const std::string& path) {
                               for (auto& r : runners) r->Noticed(n, path);
                             }});
   raw = &client;
--- a/tests/membership/service_test.cpp
+++ b/tests/membership/service_test.cpp
@@ -17,8 +17,8 @@
 
 using namespace std::chrono_literals;
 using nodes::NodeClient;
-using nodes::Notice;
 using nodes::Session;
+using nodes::WatchEvent;
 
 // A client with its answers at hand.
 struct Hand {
@@ -27,7 +27,7 @@
       : loop(loop),
         client(loop, {ensemble.addresses(), chroot, session, auth},
                {[this](Session s) { sessions.push_back(s); },
-                [this](Notice n, const std::string& path) { notices.emplace_back(n, path); }}) {
+                [this](WatchEvent n, const std::string& path) { watch_events.emplace_back(n, path); }}) {
     client.Start();
   }
   bool Connected() {
@@ -68,14 +68,17 @@
     loop.RunUntil([&] { return result.has_value(); }, 3s);
     return result.value_or(std::vector<std::string>{"no answer"});
   }
-  bool Noticed(Notice notice, const std::string& path) {
+  bool SawWatchEvent(WatchEvent notice, const std::string& path) {
     return loop.RunUntil(
-        [&] { return std::find(notices.begin(), notices.end(), std::pair(notice, path)) != notices.end(); },
+        [&] {
+          return std::find(watch_events.begin(), watch_events.end(), std::pair(notice, path)) !=
+                 watch_events.end();
+        },
         3s);
   }
   net::Loop& loop;
   std::vector<Session> sessions;
-  std::vector<std::pair<Notice, std::string>> notices;
+  std::vector<std::pair<WatchEvent, std::string>> watch_events;
   NodeClient client;
 };
 
@@ -92,18 +95,18 @@
   CHECK(two.Names("/app").empty());
   CHECK(one.Create("/app/a", "1") == nodes::kOk);
   CHECK(one.Create("/app/a/b", "") == nodes::kNoChildrenForEphemerals);
-  CHECK(two.Noticed(Notice::kChildren, "/app"));
+  CHECK(two.SawWatchEvent(WatchEvent::kChildren, "/app"));
   CHECK(two.Names("/app") == std::vector<std::string>{"a"});
   CHECK(two.Get("/app/a") == std::pair<int, std::string>(nodes::kOk, "1"));
   CHECK(one.Set("/app/a", "2") == nodes::kOk);
-  CHECK(two.Noticed(Notice::kChanged, "/app/a"));
+  CHECK(two.SawWatchEvent(WatchEvent::kChanged, "/app/a"));
   CHECK(two.Get("/app/a").second == "2");
   CHECK(two.Delete("/app") == nodes::kNotEmpty);
   // A session that is killed takes its nodes along, and the client learns of it.
   ensemble.KillSession(one.client.session_id());
-  CHECK(two.Noticed(Notice::kDeleted, "/app/a"));
+  CHECK(two.SawWatchEvent(WatchEvent::kDeleted, "/app/a"));
   CHECK(one.Saw(Session::kExpired));
-  one.client.Renew();
+  one.client.StartNewSession();
   CHECK(one.Connected());
   CHECK(one.Create("/app/a", "3") == nodes::kOk);
   // A session whose connection breaks lives on at another address, and what was missed is told.
@@ -113,13 +116,13 @@
   ensemble.CloseConnections(1);
   CHECK(two.Saw(Session::kInterrupted));
   const std::int64_t session = two.client.session_id();
-  two.notices.clear();
+  two.watch_events.clear();
   Stat stat;
   std::vector<TreeChange> changes;
   ensemble.tree().Set("/app/a", "4", -1, 0, {}, &stat, &changes);
   ensemble.Apply(changes);
   ensemble.faults(1).refuse = false;
-  CHECK(two.Noticed(Notice::kChanged, "/app/a"));
+  CHECK(two.SawWatchEvent(WatchEvent::kChanged, "/app/a"));
   CHECK(two.client.session_id() == session);
   CHECK(two.Get("/app/a").second == "4");
   // A session ends with its client, and so do its nodes.
