--- a/src/jute/jute.h
+++ b/src/jute/jute.h
@@ -1,5 +1,5 @@
-// The coordination protocol's encoding: big-endian numbers, texts and lists with a length of 32 bits in
-// front. Shared by the client and the stand-in; it knows neither's messages.
+// Encodes and decodes Jute, the serialization format of ZooKeeper: big-endian integers, and strings and lists
+// with a 32-bit length prefix. The client and the stand-in server share it; messages are defined elsewhere.
 #ifndef UMBERDYKE_JUTE_JUTE_H_
 #define UMBERDYKE_JUTE_JUTE_H_
 
@@ -10,7 +10,8 @@
 
 namespace umberdyke::jute {
 
-// Reads until something does not fit; from then on `ok()` is false and all that is read is empty.
+// Decodes values in order. After the first malformed value `ok()` is false, and further reads return zero or
+// empty values.
 class Reader {
  public:
   explicit Reader(std::string_view bytes) : bytes_(bytes) {}
@@ -19,7 +20,7 @@
   bool Bool() { return Number(1) != 0; }
   std::string Text() {
     const std::int32_t length = Int();
-    if (length <= 0) return {};  // -1 stands for no text at all
+    if (length <= 0) return {};  // -1 encodes a null string
     if (static_cast<size_t>(length) > bytes_.size()) {
       ok_ = false;
       return {};
@@ -30,7 +31,7 @@
   }
   std::vector<std::string> Texts() {
     std::vector<std::string> texts;
-    // Each takes four bytes at least: a count beyond that is a lie, and must not reserve memory.
+    // Each string takes at least four bytes. Reject a larger count before allocating memory for it.
     const std::int32_t count = Int();
     if (count > 0 && static_cast<size_t>(count) > bytes_.size() / 4) ok_ = false;
     for (std::int32_t i = 0; ok_ && i < count; ++i) texts.push_back(Text());
@@ -52,6 +53,7 @@
   bool ok_ = true;
 };
 
+// Encodes values in call order.
 class Writer {
  public:
   Writer& Int(std::int32_t value) { return Number(static_cast<std::uint32_t>(value), 4); }
@@ -72,7 +74,7 @@
     return *this;
   }
   const std::string& bytes() const { return bytes_; }
-  // With its length in front, as it goes over the wire.
+  // Returns the message with its length prefix, as sent on the wire.
   std::string Framed() const {
     Writer frame;
     frame.Int(static_cast<std::int32_t>(bytes_.size()));
--- a/src/jute/requests.h
+++ b/src/jute/requests.h
@@ -1,5 +1,5 @@
-// The protocol's numbers of requests and of answers that answer no call: what client and service have to
-// agree on.
+// ZooKeeper operation codes, and the reserved transaction ids (xids) of messages that are not replies to
+// calls.
 #ifndef UMBERDYKE_JUTE_REQUESTS_H_
 #define UMBERDYKE_JUTE_REQUESTS_H_
 
--- a/src/site/site_settings.cpp
+++ b/src/site/site_settings.cpp
@@ -1,3 +1,4 @@
+// Implements the parsing of the site's settings.
 #include "site/site_settings.h"
 
 #include <algorithm>
@@ -12,7 +13,8 @@
   return error == std::errc() && end == text.data() + text.size();
 }
 
-// Settings are read through a map: they come once a start, and a linear search over hundreds would not do.
+// Looks settings up by name and parses them. It uses a map because a linear search over hundreds of settings
+// would be too slow, although they are only read at startup.
 class SettingsReader {
  public:
   explicit SettingsReader(const SettingPairs& values) : values_(values) {}
--- a/src/site/site_settings.h
+++ b/src/site/site_settings.h
@@ -1,5 +1,5 @@
-// The site's settings under the names that the simulator and the real configuration share, read into the
-// module's Settings. Decides nothing.
+// Parses the site's settings into the decision module's Settings. The simulator and the real configuration
+// share the setting names.
 #ifndef UMBERDYKE_SITE_SITE_SETTINGS_H_
 #define UMBERDYKE_SITE_SITE_SETTINGS_H_
 
@@ -13,7 +13,7 @@
 
 namespace umberdyke {
 
-// A path with dots to its value as text; lists of objects have .count and items .0, .1 and so on.
+// Maps a dotted path to its value as text. A list of objects has a .count and items .0, .1 and so on.
 using SettingPairs = std::unordered_map<std::string, std::string>;
 
 class SettingError : public std::runtime_error {
@@ -23,16 +23,17 @@
   const std::string name;
 };
 
-// The settings, and how the site's load reports are laid out.
+// The settings, and the column names of the site's load reports in order.
 struct Configuration {
   Settings settings;
   std::vector<std::string> columns;
 };
 
-// Throws SettingError for a value that cannot be read; an absent one gets its default.
+// Throws SettingError for a value that cannot be parsed. A missing value gets its default.
 Configuration ReadSettings(const SettingPairs& pairs);
+// Splits comma-separated text.
 std::vector<std::string> SplitList(std::string_view text);
-// Sets the figure of that name; unknown names are disregarded.
+// Sets the field of `report` with the given column name. Unknown names are ignored.
 void SetReported(std::string_view name, double value, LoadReport* report);
 
 }  // namespace umberdyke
--- a/src/zookeeper/node_client.cpp
+++ b/src/zookeeper/node_client.cpp
@@ -1,3 +1,4 @@
+// Implements the ZooKeeper client: connection management, heartbeats, requests and watches.
 #include "zookeeper/node_client.h"
 
 #include <algorithm>
@@ -13,12 +14,13 @@
 
 namespace {
 
-// A list of 100,000 names fits; beyond it a length is a lie.
+// Large enough for a list of 100,000 names. A larger length is treated as malformed.
 constexpr size_t kMaxMessageBytes = size_t{16} << 20;
-constexpr Span kInitialBackoff = 10ms;  // before the next address, and more once all have failed
+constexpr Span kInitialBackoff =
+    10ms;  // before the next address; doubles after each round of failed addresses
 constexpr Span kMaxBackoff = 500ms;
 constexpr Span kMinConnectTimeout = 150ms;
-constexpr int kEphemeral = 1, kSequential = 2;  // the protocol's flags of a creation
+constexpr int kEphemeral = 1, kSequential = 2;  // create flags of the protocol
 
 NodeStat ReadStat(jute::Reader& in) {
   NodeStat stat;
@@ -84,7 +86,7 @@
   for (const std::string& server : settings_.servers) {
     if (const auto address = net::ParseAddress(server)) servers_.push_back(*address);
   }
-  // Clients that start together must not all begin with the same address.
+  // Shuffle the addresses, because clients that start together must not all connect to the same one first.
   std::shuffle(servers_.begin(), servers_.end(), random_);
 }
 
@@ -134,7 +136,7 @@
   state_ = State::kConnecting;
   stream_ = std::unique_ptr<net::Stream>(new net::Stream(loop_, this));
   const net::Address& to = servers_[next_server_++ % servers_.size()];
-  // Each address gets its part of the session's time, so that all are tried before it runs out.
+  // Divide the session timeout among the addresses so that all are tried before the session expires.
   const Span part = Span(settings_.session) / static_cast<Span::rep>(servers_.size() + 1);
   timer_.Start(std::max<Span>(part, kMinConnectTimeout));
   if (!stream_->Connect(to)) OnConnectionLost();
@@ -150,7 +152,7 @@
   Send(request);
 }
 
-// The connection is over, for whatever reason: calls that are out may or may not have been done.
+// Handles any loss of the connection. Calls in flight may or may not have been applied.
 void NodeClient::OnConnectionLost() {
   if (state_ == State::kStopped || state_ == State::kWaiting) return;
   const bool was_connected = state_ == State::kConnected;
@@ -187,7 +189,8 @@
       break;
   }
   const net::Time now = Clock::now();
-  // Silence for two thirds of the session's time leaves a third to get through elsewhere.
+  // Give up after two thirds of the session timeout without a response. The remaining third is left for
+  // reconnecting to another server.
   if (now - last_received_ >= session_timeout_ * 2 / 3) return OnConnectionLost();
   if (now - last_sent_ >= session_timeout_ / 3) Send(jute::Writer().Int(jute::kPingXid).Int(jute::kPing));
   timer_.Start(std::max<Span>(
@@ -217,7 +220,7 @@
     } else {
       HandleReply(in);
     }
-    if (stream_.get() != stream || stream_ == nullptr) return;  // what was told ended this connection
+    if (stream_.get() != stream || stream_ == nullptr) return;  // a callback closed this connection
   }
   buffer_.erase(0, at);
 }
@@ -245,8 +248,8 @@
   callbacks_.session(Session::kConnected);
 }
 
-// Watches live in the connection: on a new one they are set anew, and the service tells at once of those
-// whose node has changed since.
+// Registers the watches again on a new connection, since they belong to the connection. The service
+// immediately reports the nodes that have changed since `last_zxid_`.
 void NodeClient::SetWatches() {
   if (data_watches_.empty() && exists_watches_.empty() && child_watches_.empty()) return;
   const std::vector<std::string> data(data_watches_.begin(), data_watches_.end());
@@ -276,7 +279,7 @@
     FailCalls(kAuthFailed);
     return callbacks_.session(Session::kAuthFailed);
   }
-  // Answers come in the order of the calls; anything else is no service that can be believed.
+  // Responses arrive in call order. Any other xid is a protocol violation.
   if (calls_.empty() || calls_.front().xid != xid) return OnConnectionLost();
   if (zxid > 0) last_zxid_ = std::max(last_zxid_, zxid);
   const Call call = std::move(calls_.front());
@@ -312,7 +315,7 @@
   Send(jute::Writer().Int(xid_).Int(type).Raw(body.bytes()));
 }
 
-// Lists and data alike: the content, then the node's stat. An answer that cannot be read ends the connection.
+// Reads data or a list of children, followed by the node's stat. A malformed response closes the connection.
 template <typename Content>
 void NodeClient::ReadNode(std::int32_t type, const std::string& path, Content (jute::Reader::*read)(),
                           std::set<std::string>* watches,
@@ -372,7 +375,7 @@
               });
 }
 
-// With a password the node is its creator's alone.
+// With authentication configured, a node marked `own` is accessible only to its creator.
 void NodeClient::WriteAcl(bool own, jute::Writer* body) const {
   body->Int(1).Int(31);
   if (own && !settings_.auth.empty()) {
@@ -454,7 +457,7 @@
       done(kConnectionLost, {});
       return OnConnectionLost();
     }
-    // The first that went wrong by itself; the others failed with it.
+    // Report the first operation with an error of its own; kInconsistent only means that another one failed.
     for (const int code : each) {
       if (code != kOk && code != kInconsistent) {
         rc = code;
--- a/src/zookeeper/node_client.h
+++ b/src/zookeeper/node_client.h
@@ -1,10 +1,9 @@
-// A session with a coordination service on the event loop, by its published protocol: reads with one-shot
-// watches, ephemeral and sequential nodes, several writes that are done together or not at all, and a new
-// session when the old one has expired.
+// An asynchronous ZooKeeper client on the event loop. It supports reads with one-shot watches, ephemeral and
+// sequential nodes, atomic multi-operation writes, and a new session after the old one has expired.
 //
-// Every call answers once, later, in the order of the calls. Nothing here waits, looks names up or believes a
-// byte more than it has to: whatever is no message of the protocol ends the connection, and the next address
-// is tried. This room may not know what nodes are for.
+// Each call completes exactly once, asynchronously and in call order. The client never blocks and never
+// resolves host names. It trusts no input: a malformed message closes the connection, and the client tries
+// the next address. The client does not interpret node contents.
 #ifndef UMBERDYKE_ZOOKEEPER_NODE_CLIENT_H_
 #define UMBERDYKE_ZOOKEEPER_NODE_CLIENT_H_
 
@@ -23,11 +22,11 @@
 
 namespace umberdyke::nodes {
 
-// The protocol's codes, and two of this client's own below them.
+// Result codes of the ZooKeeper protocol. kConnectionLost and kClosing are set by this client.
 enum Rc : int {
   kOk = 0,
-  kInconsistent = -2,    // of a part of Multi: another part failed
-  kConnectionLost = -4,  // whether it was done is not known
+  kInconsistent = -2,    // of one operation of Multi: another operation failed
+  kConnectionLost = -4,  // the operation may or may not have been applied
   kNoNode = -101,
   kNoAuth = -102,
   kBadVersion = -103,
@@ -36,38 +35,39 @@
   kNotEmpty = -111,
   kSessionExpired = -112,
   kAuthFailed = -115,
-  kClosing = -116,  // the client was stopped
+  kClosing = -116,  // the client was stopped while the call was in flight
 };
 std::string ErrorText(int rc);
-// Now, for comparing with NodeStat::modified_ms where a person reads it.
+// Current wall-clock time in milliseconds since the epoch. Compare it with NodeStat::modified_ms only for
+// display.
 std::int64_t WallMillis();
 
 struct ClientSettings {
-  std::vector<std::string> servers;  // "10.0.0.1:2181"; tried in an order drawn at the start
-  std::string chroot;                // "" or "/linen": paths are below it
-  std::chrono::milliseconds session{4000};
-  std::string auth;  // "user:password" of the scheme digest; empty: none
+  std::vector<std::string> servers;         // "10.0.0.1:2181"; tried in an order shuffled at construction
+  std::string chroot;                       // "" or "/linen"; prepended to every path
+  std::chrono::milliseconds session{4000};  // the requested session timeout
+  std::string auth;                         // "user:password" for the digest scheme; empty: no authentication
 };
 
 enum class Session { kConnected, kInterrupted, kExpired, kAuthFailed };
 
-// What a read tells of a node besides its data.
+// Metadata that a read returns with a node's data or children.
 struct NodeStat {
-  std::int64_t created_zxid = 0;   // the transaction that created it
-  std::int64_t modified_zxid = 0;  // that last changed its data
-  std::int64_t children_zxid = 0;  // that last changed its list of children
+  std::int64_t created_zxid = 0;   // transaction that created the node
+  std::int64_t modified_zxid = 0;  // transaction that last changed its data
+  std::int64_t children_zxid = 0;  // transaction that last changed its list of children
   int version = 0;
-  std::int64_t owner = 0;        // session of an ephemeral node
-  std::int64_t modified_ms = 0;  // by the service's clock; to be shown, and to decide nothing
+  std::int64_t owner = 0;        // session id of an ephemeral node's owner; 0 for a persistent node
+  std::int64_t modified_ms = 0;  // by the service's clock; for display only
 };
 
-// A part of Multi.
+// One operation of Multi.
 struct Op {
   enum class Kind { kCheck, kCreate, kSet, kDelete };
   Kind kind;
   std::string path;
   std::string data;
-  int version = -1;  // that the node must have; any
+  int version = -1;  // version that the node must have; -1 matches any
 };
 
 enum class WatchEvent { kCreated, kDeleted, kChanged, kChildren };
@@ -76,7 +76,7 @@
  public:
   struct Callbacks {
     std::function<void(Session)> session;
-    // One for each watch that was set; a reconnect tells what was missed.
+    // Called once for each watch that fires. After a reconnect it also reports changes missed meanwhile.
     std::function<void(WatchEvent, const std::string& path)> watch_event;
   };
   NodeClient(net::Loop& loop, ClientSettings settings, Callbacks callbacks);
@@ -85,41 +85,44 @@
   NodeClient& operator=(const NodeClient&) = delete;
 
   void Start();
-  // Ends the session, so that its ephemeral nodes go at once. Calls that are out end with kClosing.
+  // Closes the session, which deletes its ephemeral nodes at once. Calls in flight fail with kClosing.
   void Stop();
-  // As when the process dies: the connection breaks without a word, and the session is left to run out.
+  // Closes the connection without closing the session, as a crash would. The session then expires by timeout.
   void Abandon();
-  // The session has expired: a new one. Its watches and ephemeral nodes are gone with the old one.
+  // Starts a new session after expiry. The old session's watches and ephemeral nodes are gone.
   void StartNewSession();
 
+  // Completion callbacks: the results are valid only if `rc` is kOk.
   using OnNames = std::function<void(int rc, std::vector<std::string> names, const NodeStat& stat)>;
   using OnContent = std::function<void(int rc, std::string data, const NodeStat& stat)>;
   using OnDone = std::function<void(int rc)>;
+  // Children and Get also set a one-shot watch if the node exists.
   void Children(const std::string& path, OnNames done);
   void Get(const std::string& path, OnContent done);
   void CreateEphemeral(const std::string& path, const std::string& data, OnDone done);
   void CreatePersistent(const std::string& path, OnDone done);
   void Set(const std::string& path, const std::string& data, OnDone done);
   void Delete(const std::string& path, OnDone done);
-  // As Children and Get, and no watch is set.
+  // Like Children and Get, without setting a watch.
   void Names(const std::string& path, OnNames done);
   void Read(const std::string& path, OnContent done);
-  // `watch`: a watch event once it is created, changed or gone, whether it is there now or not.
+  // `watch`: reports once when the node is created, changed or deleted, whether or not it exists now.
   void Exists(const std::string& path, bool watch, std::function<void(int rc, const NodeStat& stat)> done);
   void CreateNode(const std::string& path, const std::string& data, OnDone done);  // persistent
-  // An ephemeral node whose name is the prefix and a number that the service draws, growing. Where the answer
-  // is lost the caller finds out by the list of names: the prefix has to bear an id.
+  // Creates an ephemeral node named by the prefix and an increasing number that the service assigns. After
+  // kConnectionLost the caller must list the names to find out whether the node exists. The prefix must
+  // therefore contain an id that identifies the caller.
   void CreateSequential(const std::string& prefix, const std::string& data,
                         std::function<void(int rc, const std::string& path)> done);
-  // What this member knows next is at least what the service had committed when this was asked.
+  // After this completes, reads on this connection see everything that was committed before the call.
   void Sync(const std::string& path, OnDone done);
-  // All or nothing. `each` has a code for every part where the service answered; `rc` is the first that went
-  // wrong.
+  // Applies all operations atomically. If the service answered, `each` has one code per operation. `rc` is
+  // the first code that is an error of its own (not kInconsistent).
   void Multi(const std::vector<Op>& parts, std::function<void(int rc, const std::vector<int>& each)> done);
 
   bool connected() const { return state_ == State::kConnected; }
   std::int64_t session_id() const { return session_; }
-  net::Span session_timeout() const { return session_timeout_; }  // as the service granted it
+  net::Span session_timeout() const { return session_timeout_; }  // as granted by the service
 
  private:
   enum class State { kStopped, kWaiting, kConnecting, kHandshaking, kConnected };
@@ -161,7 +164,7 @@
   const Callbacks callbacks_;
   std::vector<net::Address> servers_;
   size_t next_server_ = 0;
-  int failed_attempts_ = 0;  // addresses tried in a row
+  int failed_attempts_ = 0;  // consecutive, reset by a successful handshake
   State state_ = State::kStopped;
   std::unique_ptr<net::Stream> stream_;
   std::string buffer_;
@@ -169,7 +172,7 @@
   std::int32_t xid_ = 0;
   std::int64_t session_ = 0;
   std::string password_;
-  std::int64_t last_zxid_ = 0;  // the latest transaction that was told
+  std::int64_t last_zxid_ = 0;  // latest transaction id received from the service
   net::Span session_timeout_{};
   net::Time last_received_{}, last_sent_{};
   std::set<std::string> data_watches_, exists_watches_, child_watches_;
