--- a/tests/membership/service_test.cpp
+++ b/tests/membership/service_test.cpp
@@ -1,5 +1,5 @@
-// The stand-in coordination service through the registry's own client library, the sidecar's sources on it,
-// and a short run under load and faults.
+// Tests the ZooKeeper client against the stand-in service, the sidecar's server list sources on top of it,
+// and short runs under load with injected faults.
 #include <unistd.h>
 
 #include <catch2/catch.hpp>
@@ -20,10 +20,10 @@
 using nodes::Session;
 using nodes::WatchEvent;
 
-// A client with its answers at hand.
-struct Hand {
-  Hand(net::Loop& loop, Ensemble& ensemble, std::chrono::milliseconds session = 1000ms, std::string auth = "",
-       std::string chroot = "")
+// A client with synchronous calls that run the loop until the response arrives.
+struct TestClient {
+  TestClient(net::Loop& loop, Ensemble& ensemble, std::chrono::milliseconds session = 1000ms,
+             std::string auth = "", std::string chroot = "")
       : loop(loop),
         client(loop, {ensemble.addresses(), chroot, session, auth},
                {[this](Session s) { sessions.push_back(s); },
@@ -43,10 +43,10 @@
     loop.RunUntil([&] { return rc.has_value(); }, 3s);
     return rc.value_or(-1000);
   }
-  int Create(const std::string& path, const std::string& data) {
+  int CreateEphemeral(const std::string& path, const std::string& data) {
     return Done([&](auto done) { client.CreateEphemeral(path, data, done); });
   }
-  int Make(const std::string& path) {
+  int CreatePersistent(const std::string& path) {
     return Done([&](auto done) { client.CreatePersistent(path, done); });
   }
   int Delete(const std::string& path) {
@@ -82,19 +82,19 @@
   NodeClient client;
 };
 
-TEST_CASE("the registry's own client finds nodes, watches, versions and sessions as the protocol has them",
+TEST_CASE("the client handles nodes, watches, versions and sessions as the protocol defines them",
           "[service]") {
   net::Loop loop;
   Ensemble ensemble(loop, {"127.0.0.1:0", "127.0.0.1:0"});
-  Hand one(loop, ensemble), two(loop, ensemble);
+  TestClient one(loop, ensemble), two(loop, ensemble);
   REQUIRE(one.Connected());
   REQUIRE(two.Connected());
-  CHECK(one.Make("/app") == nodes::kOk);
-  CHECK(one.Make("/app") == nodes::kNodeExists);
-  CHECK(one.Make("/no/such") == nodes::kNoNode);
+  CHECK(one.CreatePersistent("/app") == nodes::kOk);
+  CHECK(one.CreatePersistent("/app") == nodes::kNodeExists);
+  CHECK(one.CreatePersistent("/no/such") == nodes::kNoNode);
   CHECK(two.Names("/app").empty());
-  CHECK(one.Create("/app/a", "1") == nodes::kOk);
-  CHECK(one.Create("/app/a/b", "") == nodes::kNoChildrenForEphemerals);
+  CHECK(one.CreateEphemeral("/app/a", "1") == nodes::kOk);
+  CHECK(one.CreateEphemeral("/app/a/b", "") == nodes::kNoChildrenForEphemerals);
   CHECK(two.SawWatchEvent(WatchEvent::kChildren, "/app"));
   CHECK(two.Names("/app") == std::vector<std::string>{"a"});
   CHECK(two.Get("/app/a") == std::pair<int, std::string>(nodes::kOk, "1"));
@@ -102,14 +102,14 @@
   CHECK(two.SawWatchEvent(WatchEvent::kChanged, "/app/a"));
   CHECK(two.Get("/app/a").second == "2");
   CHECK(two.Delete("/app") == nodes::kNotEmpty);
-  // A session that is killed takes its nodes along, and the client learns of it.
+  // Killing a session deletes its ephemeral nodes, and the client is notified.
   ensemble.KillSession(one.client.session_id());
   CHECK(two.SawWatchEvent(WatchEvent::kDeleted, "/app/a"));
   CHECK(one.Saw(Session::kExpired));
   one.client.StartNewSession();
   CHECK(one.Connected());
-  CHECK(one.Create("/app/a", "3") == nodes::kOk);
-  // A session whose connection breaks lives on at another address, and what was missed is told.
+  CHECK(one.CreateEphemeral("/app/a", "3") == nodes::kOk);
+  // A session survives a lost connection by moving to another address, and missed changes are reported.
   two.Get("/app/a");
   ensemble.faults(0).refuse = ensemble.faults(1).refuse = true;
   ensemble.CloseConnections(0);
@@ -125,26 +125,26 @@
   CHECK(two.SawWatchEvent(WatchEvent::kChanged, "/app/a"));
   CHECK(two.client.session_id() == session);
   CHECK(two.Get("/app/a").second == "4");
-  // A session ends with its client, and so do its nodes.
+  // Stopping the client closes its session and deletes its ephemeral nodes.
   two.client.Stop();
   CHECK(loop.RunUntil([&] { return ensemble.sessions().size() == 1; }, 3s));
 }
 
-TEST_CASE("rights by user and password, and paths below a chroot", "[service]") {
+TEST_CASE("access control by user and password, and paths below a chroot", "[service]") {
   net::Loop loop;
   Ensemble ensemble(loop, {"127.0.0.1:0"});
-  Hand outside(loop, ensemble), inside(loop, ensemble, 1000ms, "linen:s3cret", "/linen");
+  TestClient outside(loop, ensemble), inside(loop, ensemble, 1000ms, "linen:s3cret", "/linen");
   REQUIRE(outside.Connected());
-  CHECK(outside.Make("/linen") == nodes::kOk);
+  CHECK(outside.CreatePersistent("/linen") == nodes::kOk);
   REQUIRE(inside.Connected());
-  CHECK(inside.Create("/a", "mine") == nodes::kOk);
+  CHECK(inside.CreateEphemeral("/a", "mine") == nodes::kOk);
   CHECK(inside.Get("/a").second == "mine");
   CHECK(outside.Names("/linen") == std::vector<std::string>{"a"});
   CHECK(outside.Get("/linen/a").first == nodes::kNoAuth);
   CHECK(outside.Set("/linen/a", "theirs") == nodes::kNoAuth);
 }
 
-TEST_CASE("the sidecar's source follows nodes through expiry, silence, lagging members and bad data",
+TEST_CASE("the source follows nodes through expiry, outages, lagging members and malformed data",
           "[service]") {
   net::Loop loop;
   Ensemble ensemble(loop, {"127.0.0.1:0", "127.0.0.1:0"});
@@ -183,20 +183,20 @@
   membership.path = "/app";
   membership.session = 600ms;
   membership.register_path = "/front-1";
-  membership.guard_share = 0.95;  // the guard has tests of its own
+  membership.guard_share = 0.95;  // mass-removal protection is tested elsewhere
   config.membership = membership;
   const net::Platform platform(config);
   net::Counters counters;
   const auto log = log::NullLog();
   std::map<std::string, UpstreamState> list;
-  int told = 0;
-  // One server that the sidecar knew from before, and that is no more.
+  int updates = 0;
+  // The initial list has one server that no longer exists.
   const auto known =
       platform.ParseServerList(net::ListText(1, true, {net::ServerLine("old", "127.0.0.1:9999")}));
   list["old"] = UpstreamState::kReady;
   const auto source = net::MakeSource(loop, platform, config, *known, counters, *log,
                                       {[&](const net::ServerListChange& change, ListUpdate) {
-                                         ++told;
+                                         ++updates;
                                          for (const auto& s : change.servers) list[s.id] = s.state;
                                        },
                                        [](const std::string&) { FAIL("a source of its own never fails"); }});
@@ -206,7 +206,7 @@
   };
   REQUIRE(state("s9", UpstreamState::kReady));
   CHECK(state("old", UpstreamState::kGone));
-  CHECK(told == 1);  // the first list comes whole
+  CHECK(updates == 1);  // the first list is reported in one update
   CHECK(loop.RunUntil([&] { return ensemble.OwnerOf("/front-1") != 0; }, 3s));
 
   remove(1);
@@ -216,10 +216,10 @@
   set(3, "{\"addr\":");
   set(4, data(4, "draining"));
   CHECK(state("s4", UpstreamState::kDraining));
-  CHECK(list["s3"] == UpstreamState::kReady);  // what cannot be read changes nothing
+  CHECK(list["s3"] == UpstreamState::kReady);  // malformed data changes nothing
   CHECK(counters.Of("membership_malformed") == 1);
 
-  // Its own session is killed: it follows on in a new one, with its own node anew.
+  // After its session is killed, the source starts a new one and registers its own node again.
   const std::int64_t before = ensemble.OwnerOf("/front-1");
   ensemble.KillSession(before);
   remove(5);
@@ -227,7 +227,8 @@
   CHECK(loop.RunUntil(
       [&] { return ensemble.OwnerOf("/front-1") != 0 && ensemble.OwnerOf("/front-1") != before; }, 3s));
 
-  // The service is away for longer than the session: nothing changes, then everything that happened does.
+  // While the service is unreachable for longer than the session timeout the list stays unchanged. Afterwards
+  // all missed changes are applied.
   for (size_t m = 0; m < 2; ++m) {
     ensemble.faults(m).refuse = true;
     ensemble.CloseConnections(m);
@@ -240,7 +241,7 @@
   CHECK(state("s6", UpstreamState::kGone));
   CHECK(state("s11", UpstreamState::kReady));
 
-  // A member that lags brings an older view: it never counts.
+  // An older view from a lagging service member is ignored.
   ensemble.SetLagging(0, true);
   ensemble.SetLagging(1, true);
   remove(7);
@@ -251,12 +252,12 @@
   ensemble.CloseConnections(1);
   CHECK(state("s7", UpstreamState::kGone));
 
-  // The same name and address again within the same moment.
+  // A node is deleted and immediately created again with the same name and address.
   remove(8);
   add(8);
   CHECK(state("s8", UpstreamState::kReady));
 
-  // A storm: many changes, few readings of the list.
+  // Many changes in quick succession must cause only a few reads of the list.
   const std::uint64_t reads = counters.Of("membership_list_reads");
   for (int i = 100; i < 600; ++i) {
     add(i);
@@ -269,9 +270,9 @@
   CHECK(loop.RunUntil([&] { return ensemble.OwnerOf("/front-1") == 0; }, 3s));
 }
 
-// What a process of one name does to the node of another that replaces it.
-struct Registering {
-  explicit Registering(net::Loop& loop, const Ensemble& ensemble) {
+// A sidecar process registered under a fixed name, for tests in which a process is replaced by another.
+struct RegisteredSidecar {
+  explicit RegisteredSidecar(net::Loop& loop, const Ensemble& ensemble) {
     config.name = "front-1";
     config.zone_names = {"east"};
     config.membership.emplace();
@@ -290,13 +291,13 @@
   std::unique_ptr<net::MemberSource> source;
 };
 
-TEST_CASE("a process that leaves takes its own node along, and not its successor's", "[service]") {
+TEST_CASE("a process that leaves deletes its own node and not that of its successor", "[service]") {
   net::Loop loop;
   Ensemble ensemble(loop, {"127.0.0.1:0"});
-  Registering old(loop, ensemble);
+  RegisteredSidecar old(loop, ensemble);
   REQUIRE(loop.RunUntil([&] { return ensemble.OwnerOf("/front-1") != 0; }, 5s));
   const auto first = ensemble.OwnerOf("/front-1");
-  Registering next(loop, ensemble);
+  RegisteredSidecar next(loop, ensemble);
   REQUIRE(loop.RunUntil(
       [&] { return ensemble.OwnerOf("/front-1") != 0 && ensemble.OwnerOf("/front-1") != first; }, 5s));
   old.source->Deregister();
@@ -306,8 +307,9 @@
   CHECK(loop.RunUntil([&] { return ensemble.OwnerOf("/front-1") == 0; }, 3s));
 }
 
-// The first of many that go is told gone before it shows that many go; taken back, it is told as it was.
-TEST_CASE("a server that is taken back into the list keeps its zone", "[service]") {
+// When many servers disappear, the first is reported gone before mass-removal protection starts. When it is
+// restored, it must be reported with its original zone.
+TEST_CASE("a server that is restored to the list keeps its zone", "[service]") {
   net::Loop loop;
   Ensemble ensemble(loop, {"127.0.0.1:0"});
   std::string created;
@@ -333,16 +335,16 @@
   net::Counters counters;
   const auto log = log::NullLog();
   std::map<std::string, UpstreamState> list;
-  int taken_back = 0, elsewhere = 0;
+  int restored = 0, wrong_zone = 0;
   const auto source = net::MakeSource(loop, platform, config, {}, counters, *log,
                                       {[&](const net::ServerListChange& change, ListUpdate) {
                                          for (const net::ListedServer& s : change.servers) {
                                            const auto known = list.find(s.id);
-                                           const bool back = known != list.end() &&
-                                                             known->second == UpstreamState::kGone &&
-                                                             s.state == UpstreamState::kReady;
-                                           if (back) ++taken_back;
-                                           if (s.state == UpstreamState::kReady && s.zone != 1) ++elsewhere;
+                                           const bool is_restored = known != list.end() &&
+                                                                    known->second == UpstreamState::kGone &&
+                                                                    s.state == UpstreamState::kReady;
+                                           if (is_restored) ++restored;
+                                           if (s.state == UpstreamState::kReady && s.zone != 1) ++wrong_zone;
                                            list[s.id] = s.state;
                                          }
                                        },
@@ -355,17 +357,17 @@
     ensemble.Apply(changes);
     loop.RunUntil([] { return false; }, 60ms);
   }
-  CHECK(loop.RunUntil([&] { return taken_back > 0; }, 5s));
-  CHECK(elsewhere == 0);
+  CHECK(loop.RunUntil([&] { return restored > 0; }, 5s));
+  CHECK(wrong_zone == 0);
 }
 
-// A member that writes nothing refuses the sidecar's own node, and the connection stays: nothing else would
-// ask again.
-TEST_CASE("a sidecar whose node was refused registers once it may", "[service]") {
+// A read-only service member rejects the sidecar's own node while the connection stays up, so no reconnect
+// triggers another registration attempt.
+TEST_CASE("a sidecar whose node was rejected registers once the service accepts writes", "[service]") {
   net::Loop loop;
   Ensemble ensemble(loop, {"127.0.0.1:0"});
   ensemble.faults(0).read_only = true;
-  Registering sidecar(loop, ensemble);
+  RegisteredSidecar sidecar(loop, ensemble);
   net::Counters& counters = sidecar.counters;
   REQUIRE(loop.RunUntil([&] { return counters.Of("membership_not_registered") > 0; }, 5s));
   CHECK(ensemble.OwnerOf("/front-1") == 0);
@@ -411,13 +413,13 @@
   CHECK(counters.Of("membership_file_refused") == 2);
 }
 
-TEST_CASE("a drain counts as told only once data that says so was handed out", "[service]") {
+TEST_CASE("a drain counts as reported only once data that says so was read", "[service]") {
   net::Loop loop;
   Ensemble ensemble(loop, {"127.0.0.1:0", "127.0.0.1:0"});
-  ensemble.faults(1).refuse = true;  // the reader is at the first member, the server at the second
-  Hand hand(loop, ensemble, 5000ms);
-  REQUIRE(hand.Connected());
-  REQUIRE(hand.Make("/app") == nodes::kOk);
+  ensemble.faults(1).refuse = true;  // the reader uses the first member, the server the second
+  TestClient reader(loop, ensemble, 5000ms);
+  REQUIRE(reader.Connected());
+  REQUIRE(reader.CreatePersistent("/app") == nodes::kOk);
   ensemble.faults(1).refuse = false;
   Ledger ledger;
   StandIn server(loop, {{ensemble.addresses()[1]}, "", 5000ms, ""}, {"s1", "east", "/app"}, ledger, 1);
@@ -425,19 +427,19 @@
   ensemble.on_read = [&](const std::string& path, const std::string& data, std::int64_t, net::Time when) {
     if (path == server.node()) server.Told(data, when);
   };
-  const auto told = [&] { return loop.RunUntil([&] { return server.told(); }, 300ms); };
-  // The member serves what it knew before the drain; whoever reads there cannot know of it.
+  const auto reported = [&] { return loop.RunUntil([&] { return server.told(); }, 300ms); };
+  // The lagging member serves data from before the drain, so its readers cannot know of the drain.
   ensemble.SetLagging(0, true);
   server.Drain();
   loop.RunUntil([] { return false; }, 50ms);
-  CHECK(hand.Get("/app/s1").second.find("ready") != std::string::npos);
-  CHECK_FALSE(told());
+  CHECK(reader.Get("/app/s1").second.find("ready") != std::string::npos);
+  CHECK_FALSE(reported());
   ensemble.SetLagging(0, false);
-  CHECK(hand.Get("/app/s1").second.find("draining") != std::string::npos);
-  CHECK(told());
+  CHECK(reader.Get("/app/s1").second.find("draining") != std::string::npos);
+  CHECK(reported());
 }
 
-TEST_CASE("under load and faults nothing is lost, doubled, or sent to a drained server", "[service]") {
+TEST_CASE("under load and faults no request is lost, duplicated, or sent to a drained server", "[service]") {
   for (const std::uint64_t seed : {1, 2, 3}) {
     MembershipRun run;
     run.sidecar = UMBERDYKE_PROGRAM;
@@ -448,7 +450,7 @@
     const MembershipReport report = Run(run);
     INFO(Print(run, report));
     CHECK(report.clean());
-    // The run has to be one: most requests are served, and faults of many kinds came.
+    // Check that the run was meaningful: most requests were served, and enough faults were injected.
     CHECK(report.served * 10 > report.asked * 8);
     CHECK(report.faults.size() >= 8);
     CHECK(report.registered > 0);
