--- a/examples/party.h
+++ b/examples/party.h
@@ -1,4 +1,4 @@
-// A scripted HTTP party on a loopback port: the toy server's parts, and the tests' servers and discovery.
+// A scripted HTTP server on a loopback port, used by the toy server and as the tests' servers and discovery.
 #ifndef UMBERDYKE_EXAMPLES_PARTY_H_
 #define UMBERDYKE_EXAMPLES_PARTY_H_
 
@@ -14,7 +14,8 @@
 
 namespace umberdyke::net {
 
-// One message a connection at a time; each goes to the script, which answers when it likes.
+// Handles one message per connection at a time and passes it to the script, which may answer at any later
+// time.
 class Party {
  public:
   class Peer : public StreamCallbacks {
@@ -56,10 +57,9 @@
       : loop_(loop), listener_(loop, [this] { Come(); }) {
     error = listener_.Listen(*ParseAddress(address));
   }
-  std::string error;  // empty, or why it does not listen
+  std::string error;  // empty, or the reason why it does not listen
   std::string address() const { return PrintAddress(listener_.address()); }
-  // From now on connections are not read until somebody reads their streams, and little waits there
-  // meanwhile.
+  // New connections are not read until their streams are told to read, and their receive buffers are small.
   void Hold() {
     holds_ = true;
     const int little = 2048;
